--- a/curlewhall/standins/platform.py
+++ b/curlewhall/standins/platform.py
@@ -285,6 +285,10 @@
             self.closed, self.closed_at = True, time.monotonic()
             self.change.notify_all()
 
+    def writable(self) -> bool:
+        """Whether the connection still takes bytes: its transport closes before `listen` has set `closed`."""
+        return not self.closed and not self.writer.is_closing()
+
     def send(self, raw: bytes) -> None:
         self.writer.write(raw)
 
--- a/tests/relay/test_fleet_faults.py
+++ b/tests/relay/test_fleet_faults.py
@@ -127,7 +127,7 @@
                 await asyncio.sleep(0.02)
                 continue
             life, names, until = front.life, [], time.monotonic() + draw.uniform(0.3, 3.0)
-            while not viewer.closed and not viewer.writer.is_closing() and time.monotonic() < until \
+            while viewer.writable() and time.monotonic() < until \
                     and not self.over:
                 name = viewer.ask(product=draw.choice(["cheap", "dear", "paid"]), patience="1500")
                 self.asked[name] = front, life, viewer
--- a/tests/relay/test_standing.py
+++ b/tests/relay/test_standing.py
@@ -11,7 +11,7 @@
 from relay.test_relay_process import config, run
 
 from curlewhall.codecs import messages
-from curlewhall.standins.platform import Platform
+from curlewhall.standins.platform import Platform, abort
 
 LIMIT = 3.0  # seconds: the longest time limit of the settings here
 
@@ -95,10 +95,11 @@
         self.viewer, self.period, self.sent, self.closed = viewer, period, {}, 0.0
 
     async def run(self):
-        while not self.viewer.closed:
+        while self.viewer.writable():
             self.sent[self.viewer.ask(patience="900")] = time.monotonic()
             await asyncio.sleep(self.period)
         self.closed = time.monotonic()
+        await self.viewer.gone()  # answers that came before the close are read by then
 
     def answered(self):
         return sum(1 for name in self.sent if self.ended(name))
@@ -115,6 +116,34 @@
         return sum(sent > told for sent in self.sent.values())
 
 
+@looped
+async def test_sender_stops_when_its_transport_closes_before_the_listener_notices():
+    """The listener sets `closed` under a lock, after the transport has closed; uvloop raises RuntimeError on
+    a write in between.
+    """
+    accepted = []
+    server = await asyncio.start_server(lambda reader, writer: accepted.append(writer), "127.0.0.1", 0)
+    platform = Platform()
+    try:
+        viewer = await platform.viewer(server.sockets[0].getsockname()[1])
+        async with viewer.change:
+            while not accepted:
+                await asyncio.sleep(0.001)
+            abort(accepted[0])
+            while not viewer.writer.is_closing():
+                await asyncio.sleep(0.001)
+            assert not viewer.closed
+            sender = Sender(viewer, period=0.001)
+            running = asyncio.create_task(sender.run())
+            await asyncio.sleep(0.01)
+            assert not running.done() and not sender.sent
+        await running
+        assert viewer.closed and sender.closed
+    finally:
+        platform.close()
+        server.close()
+
+
 @looped
 async def test_a_change_counts_as_told_once_the_channel_holds_it(tmp_path):
     """SIGHUP moves the channel; a drain is held by the new one before the front has come there. From 4 s
