--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -10,21 +10,56 @@
 from curlewhall.simhost.host import Host, WireUnreadable, millis
 from curlewhall.words import tenths
 
-CONFIG = json.dumps({
-    "lanes": [{"name": name, "worth": worth, "idempotency": how, "target-ms": 1000.0, "give-up-ms": 3000.0}
-              for name, worth, how in (("dear", 2.0, "pure"), ("cheap", 1.0, "pure"),
-                                       ("paid", 3.0, "side_effect"))],
-    "customers": [], "n-instances": 2, "self-index": 0, "zone": "z", "zones": ["z"], "kinds": ["box"],
-    "report": {"how": "inline"},
-    "specifics": {"rung-kb": [100.0, 200.0, 400.0, 800.0], "level-worth": [0.2, 0.5, 0.8, 1.0],
-                  "class-scale": [1.0, 1.0, 1.0], "floor-by-class": [0, 0, 1], "highest-rung": [3, 3, 3],
-                  "seats": [0, 0, 0], "kind-streams": [8], "places": 4, "shelves": 2, "uplink-kb": 4000.0,
-                  "link-unit-kb": 3000.0, "told-late-ms": 1000.0, "told-every-ms": 3000.0,
-                  "switch-cost-s": 0.5, "stall": 8.0},
-    "permissions": {"probes": True, "retry-after": True, "max-retry-after-ms": 1000.0, "max-attempts": 3,
-                    "peer-messages": False},
-    "invariants": {"drain-grace-ms": 500.0, "fall-ms": 1000.0, "overload-factor": 4.0, "start-capacity": 0.4,
-                   "warm-within-ms": 12000.0}})
+CONFIG = json.dumps(
+    {
+        "lanes": [
+            {"name": name, "worth": worth, "idempotency": how, "target-ms": 1000.0, "give-up-ms": 3000.0}
+            for name, worth, how in (
+                ("dear", 2.0, "pure"),
+                ("cheap", 1.0, "pure"),
+                ("paid", 3.0, "side_effect"),
+            )
+        ],
+        "customers": [],
+        "n-instances": 2,
+        "self-index": 0,
+        "zone": "z",
+        "zones": ["z"],
+        "kinds": ["box"],
+        "report": {"how": "inline"},
+        "specifics": {
+            "rung-kb": [100.0, 200.0, 400.0, 800.0],
+            "level-worth": [0.2, 0.5, 0.8, 1.0],
+            "class-scale": [1.0, 1.0, 1.0],
+            "floor-by-class": [0, 0, 1],
+            "highest-rung": [3, 3, 3],
+            "seats": [0, 0, 0],
+            "kind-streams": [8],
+            "places": 4,
+            "shelves": 2,
+            "uplink-kb": 4000.0,
+            "link-unit-kb": 3000.0,
+            "told-late-ms": 1000.0,
+            "told-every-ms": 3000.0,
+            "switch-cost-s": 0.5,
+            "stall": 8.0,
+        },
+        "permissions": {
+            "probes": True,
+            "retry-after": True,
+            "max-retry-after-ms": 1000.0,
+            "max-attempts": 3,
+            "peer-messages": False,
+        },
+        "invariants": {
+            "drain-grace-ms": 500.0,
+            "fall-ms": 1000.0,
+            "overload-factor": 4.0,
+            "start-capacity": 0.4,
+            "warm-within-ms": 12000.0,
+        },
+    }
+)
 
 
 class Wire:
@@ -39,18 +74,25 @@
         self.serial += 1
         self.out.seek(0)
         self.out.truncate()
-        self.host.run([f"sync moment-ms={ms} serial={self.serial}\n", *(f"{line}\n" for line in lines),
-                       "go\n"])
+        self.host.run(
+            [f"sync moment-ms={ms} serial={self.serial}\n", *(f"{line}\n" for line in lines), "go\n"]
+        )
         *said, last = self.out.getvalue().splitlines()
         assert last == f"done serial={self.serial}"
         return said
 
 
-ROWS = [f"row node=n{i} failure-domain=z shape=box place={i} availability=SERVING power-hint=1.0"
-        for i in range(4)]
-BORN = (f"born i=3 rng-seed=7 config={CONFIG}", "catalog bank=0 rows-in=4", *ROWS,
-        "members i=3 gen=1 bank=0 how=stale_copy")
-SUBMIT = ("submit i=3 ticket={0} profile={1} subject=5 title=9 valid-until-ms={2} base=0 copies=4 max-rung=3")
+ROWS = [
+    f"row node=n{i} failure-domain=z shape=box place={i} availability=SERVING power-hint=1.0"
+    for i in range(4)
+]
+BORN = (
+    f"born i=3 rng-seed=7 config={CONFIG}",
+    "catalog bank=0 rows-in=4",
+    *ROWS,
+    "members i=3 gen=1 bank=0 how=stale_copy",
+)
+SUBMIT = "submit i=3 ticket={0} profile={1} subject=5 title=9 valid-until-ms={2} base=0 copies=4 max-rung=3"
 
 
 @pytest.fixture
@@ -63,7 +105,8 @@
 def test_the_settings_come_in_the_projects_words_and_tenths():
     seen = {}
     Wire(lambda now, seed, found: seen.update(found, seed=seed, now=now) or Front(now, seed, found)).say(
-        12.37, *BORN)
+        12.37, *BORN
+    )
     assert seen["seed"] == 7 and seen["now"] == 123
     for name, value in card().items():
         if name not in ("products", "permissions.peer_messages"):
@@ -77,21 +120,45 @@
     node = dict(part.split("=") for part in send.split()[1:])["node"]
     assert send == f"send i=3 ticket=a node={node} allow-for-ms=400.0"
     assert wire.say(20_020, f"first_byte i=3 ticket=a trial=0 node={node} lag-ms=20.0") == []
-    assert wire.say(21_000, f"progress i=3 ticket=a trial=0 node={node} amount=0.1 topic=3",
-                    f"progress i=3 ticket=a trial=0 node={node} amount=0.1 topic=9") == []
+    assert (
+        wire.say(
+            21_000,
+            f"progress i=3 ticket=a trial=0 node={node} amount=0.1 topic=3",
+            f"progress i=3 ticket=a trial=0 node={node} amount=0.1 topic=9",
+        )
+        == []
+    )
     stepped = wire.say(22_000, f"progress i=3 ticket=a trial=0 node={node} amount=0.1 topic=4")
     assert stepped == ["set_rung i=3 ticket=a grade=2"]
     assert wire.say(23_000, f"progress i=3 ticket=a trial=0 node={node} amount=0.5 topic=1") == [
-        "set_rung i=3 ticket=a grade=1"]
-    assert wire.say(24_000, f"answer i=3 ticket=a lag-ms=9.5 final=1 trial=0 rc=GOOD node={node} "
-                            "report=cpu:0.6,x1:nan,new:1") == []
+        "set_rung i=3 ticket=a grade=1"
+    ]
+    assert (
+        wire.say(
+            24_000,
+            f"answer i=3 ticket=a lag-ms=9.5 final=1 trial=0 rc=GOOD node={node} "
+            "report=cpu:0.6,x1:nan,new:1",
+        )
+        == []
+    )
     assert not wire.host.fronts["3"].plays and wire.host.fronts["3"].nodes[node].heard == 0.6
 
 
-@pytest.mark.parametrize(("rc", "product", "verb"), [
-    ("FULL", "paid", "send"), ("NOCONN", "paid", "send"), ("NOP", "paid", "send"), ("LATE", "paid", "lose"),
-    ("RST", "paid", "lose"), ("BAD", "paid", "lose"), ("CXL", "paid", "lose"), ("NEW", "paid", "lose"),
-    ("LATE", "cheap", "send"), ("NEW", "cheap", "send")])
+@pytest.mark.parametrize(
+    ("rc", "product", "verb"),
+    [
+        ("FULL", "paid", "send"),
+        ("NOCONN", "paid", "send"),
+        ("NOP", "paid", "send"),
+        ("LATE", "paid", "lose"),
+        ("RST", "paid", "lose"),
+        ("BAD", "paid", "lose"),
+        ("CXL", "paid", "lose"),
+        ("NEW", "paid", "lose"),
+        ("LATE", "cheap", "send"),
+        ("NEW", "cheap", "send"),
+    ],
+)
 def test_how_an_attempt_ends_keeps_its_proof(wire, rc, product, verb):
     """Danger: an ending taken for another would send a paid play twice."""
     said = wire.say(20_000, SUBMIT.format("a", product, 23_000))
@@ -101,55 +168,90 @@
 
 
 def test_what_is_not_about_a_play_and_a_front_that_ends(wire):
-    said = wire.say(20_000, SUBMIT.format("a", "dear", 23_000), "client_gone i=3 ticket=a",
-                    "message i=3 by=1 octets=aGk=", "message i=3 by=1 octets=-", "bell i=3 label=77",
-                    "probe_done i=3 node=n0 lag-ms=1.0 rc=GOOD report=x0:0.4",
-                    "members i=3 gen=2 how=broken", "members i=3 gen=2 how=unheard", "later i=3 thing=1")
+    said = wire.say(
+        20_000,
+        SUBMIT.format("a", "dear", 23_000),
+        "client_gone i=3 ticket=a",
+        "message i=3 by=1 octets=aGk=",
+        "message i=3 by=1 octets=-",
+        "bell i=3 label=77",
+        "probe_done i=3 node=n0 lag-ms=1.0 rc=GOOD report=x0:0.4",
+        "members i=3 gen=2 how=broken",
+        "members i=3 gen=2 how=unheard",
+        "later i=3 thing=1",
+    )
     assert [line.split()[0] for line in said] == ["set_rung", "send"]
     assert wire.host.fronts["3"].nodes["n0"].heard == 0.4
-    assert wire.say(21_000, "catalog bank=1 rows-in=1",
-                    ROWS[0].replace("SERVING", "DELETED").replace("n0", "n1"),
-                    "members i=3 gen=3 bank=1 how=patch", SUBMIT.format("b", "dear", 24_000))[-1].split()[0] \
+    assert (
+        wire.say(
+            21_000,
+            "catalog bank=1 rows-in=1",
+            ROWS[0].replace("SERVING", "DELETED").replace("n0", "n1"),
+            "members i=3 gen=3 bank=1 how=patch",
+            SUBMIT.format("b", "dear", 24_000),
+        )[-1].split()[0]
         == "send"
+    )
     assert wire.host.fronts["3"].nodes["n1"].row.state == "gone"
     assert wire.say(22_000, "power_off i=3") == [] and not wire.host.fronts
     with pytest.raises(WireUnreadable, match="instance 3, which is not running"):
         wire.say(23_000, SUBMIT.format("c", "dear", 25_000))
 
 
-@pytest.mark.parametrize(("answer", "line"), [
-    (("decline", "p", 10_000), "deny i=1 ticket=p stay-away-ms=1000.0"), (("fail", "p"), "lose i=1 ticket=p"),
-    (("withdraw", "p", 2), "abandon i=1 ticket=p trial=2"), (("move", "p"), "reassign i=1 ticket=p"),
-    (("probe", "n"), "ping i=1 node=n"), (("tell", None, b"hi"), "write_peer i=1 dst=* octets=aGk="),
-    (("tell", 2, b""), "write_peer i=1 dst=2 octets=-"), (("wake", 605, 4), "timer i=1 span-ms=60.5 label=4"),
-    (("log", "two\nlines"), "record i=1 body-text=two lines"),
-    (("dance",), "die i=1 body-text=ValueError: the module answered 'dance', which the interface does not "
-                 "know"),
-])
+@pytest.mark.parametrize(
+    ("answer", "line"),
+    [
+        (("decline", "p", 10_000), "deny i=1 ticket=p stay-away-ms=1000.0"),
+        (("fail", "p"), "lose i=1 ticket=p"),
+        (("withdraw", "p", 2), "abandon i=1 ticket=p trial=2"),
+        (("move", "p"), "reassign i=1 ticket=p"),
+        (("probe", "n"), "ping i=1 node=n"),
+        (("tell", None, b"hi"), "write_peer i=1 dst=* octets=aGk="),
+        (("tell", 2, b""), "write_peer i=1 dst=2 octets=-"),
+        (("wake", 605, 4), "timer i=1 span-ms=60.5 label=4"),
+        (("log", "two\nlines"), "record i=1 body-text=two lines"),
+        (
+            ("dance",),
+            "die i=1 body-text=ValueError: the module answered 'dance', which the interface does not " "know",
+        ),
+    ],
+)
 def test_each_answer_has_its_line(answer, line):
-    scripted = type("Scripted", (), {"__init__": lambda self, *facts: None,
-                                     "wake": lambda self, now, label: [answer]})
+    scripted = type(
+        "Scripted", (), {"__init__": lambda self, *facts: None, "wake": lambda self, now, label: [answer]}
+    )
     wire = Wire(scripted)
     assert wire.say(0, "born i=1 rng-seed=1 config={}", "bell i=1 label=0") == [line]
 
 
-@pytest.mark.parametrize(("lines", "words"), [
-    (["bell i=3 label=1\n"], "outside a batch"), (["go\n"], "outside a batch"),
-    (["sync moment-ms=1 serial=1\n", "sync moment-ms=2 serial=2\n"], "sync inside a batch"),
-    (["sync moment-ms=1 serial=1\n"], "ends inside a batch"), (["sync moment-ms=x serial=1\n"], "line 1"),
-    (["sync moment-ms=1 serial=1\n", "bell i=3 label=1 nonsense\n"], "not name=value"),
-    (["sync moment-ms=1 serial=1\n", "catalog bank=0 rows-in=2\n", ROWS[0] + "\n", "go\n"],
-     "2 rows announced, row 2"),
-    (["sync moment-ms=1 serial=1\n", "born i=1 rng-seed=7\n"], "'config' is missing"),
-    (["sync moment-ms=1 serial=1\n", "born i=1 rng-seed=1 config={}\n", "message i=1 by=0 octets=!\n"],
-     "line 3"),
-])
+@pytest.mark.parametrize(
+    ("lines", "words"),
+    [
+        (["bell i=3 label=1\n"], "outside a batch"),
+        (["go\n"], "outside a batch"),
+        (["sync moment-ms=1 serial=1\n", "sync moment-ms=2 serial=2\n"], "sync inside a batch"),
+        (["sync moment-ms=1 serial=1\n"], "ends inside a batch"),
+        (["sync moment-ms=x serial=1\n"], "line 1"),
+        (["sync moment-ms=1 serial=1\n", "bell i=3 label=1 nonsense\n"], "not name=value"),
+        (
+            ["sync moment-ms=1 serial=1\n", "catalog bank=0 rows-in=2\n", ROWS[0] + "\n", "go\n"],
+            "2 rows announced, row 2",
+        ),
+        (["sync moment-ms=1 serial=1\n", "born i=1 rng-seed=7\n"], "'config' is missing"),
+        (
+            ["sync moment-ms=1 serial=1\n", "born i=1 rng-seed=1 config={}\n", "message i=1 by=0 octets=!\n"],
+            "line 3",
+        ),
+    ],
+)
 def test_what_breaks_the_form_is_told_with_its_line(lines, words):
     with pytest.raises(WireUnreadable, match=words):
         Host(lambda *facts: None, io.StringIO()).run(lines)
 
 
-@pytest.mark.parametrize(("text", "value"), [("0", 0), ("1.25", 12), ("0.3", 3), ("2999.95", 29_999),
-                                             ("99999999999.9", 999_999_999_999)])
+@pytest.mark.parametrize(
+    ("text", "value"),
+    [("0", 0), ("1.25", 12), ("0.3", 3), ("2999.95", 29_999), ("99999999999.9", 999_999_999_999)],
+)
 def test_time_limits_never_grow_on_the_way(text, value):
     assert tenths(text) == value and float(millis(value)) <= float(text)
--- a/tests/wire/test_http.py
+++ b/tests/wire/test_http.py
@@ -12,34 +12,38 @@
 def fed(raw, step=None, limits=LIMITS):
     reader = http.Requests(limits)
     for i in range(0, len(raw), step or len(raw)):
-        reader.feed(raw[i:i + (step or len(raw))])
+        reader.feed(raw[i : i + (step or len(raw))])
     return list(reader.messages)
 
 
-@pytest.mark.parametrize(("status", "raw"), [
-    (400, b"GET / HTTP/1.1\r\n" + HOST + b"Content-Length: 1\r\nContent-Length: 2\r\n\r\nx"),
-    (400, b"GET / HTTP/1.1\r\n" + HOST + b"Content-Length: 1\r\nContent-Length: 1\r\n\r\nx"),
-    (400, POST + b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"),
-    (400, POST + b"Transfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n0\r\n\r\n"),
-    (501, POST + b"Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n"),
-    (400, b"GET / HTTP/1.1\r\n" + HOST + b"X: b\rc\r\n\r\n"),
-    (400, b"GET / HTTP/1.1\r\nHost: a\rX: b\r\n\r\n"),
-    (400, b"GET / HTTP/1.1\r\n" + HOST + b" folded: x\r\n\r\n"),
-    (400, b"GET / HTTP/1.1\r\nHost : a\r\n\r\n"),
-    (400, b"GET / HTTP/1.1\r\n" + HOST + HOST + b"\r\n"),
-    (400, b"GET / HTTP/1.1\r\n\r\n"),
-    (400, POST + b"Content-Length: +1\r\n\r\nx"),
-    (400, POST + b"Content-Length: 0x1\r\n\r\nx"),
-    (400, POST + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n"),
-    (400, b"\x16\x03\x01\x02\x00\x01\x00"),
-    (413, POST + b"Content-Length: 51\r\n\r\n"),
-    (413, POST + b"Transfer-Encoding: chunked\r\n\r\n40\r\n" + b"x" * 64 + b"\r\n"),
-    (414, b"GET /" + b"a" * 200 + b" HTTP/1.1\r\n"),
-    (414, b"GET /" + b"a" * 200),
-    (431, b"GET / HTTP/1.1\r\n" + HOST + b"x: y\r\n" * 100),
-    (431, b"GET / HTTP/1.1\r\n" + HOST + b"x: " + b"y" * 500),
-    (505, b"GET / HTTP/2.0\r\n" + HOST + b"\r\n"),
-], ids=range(22))
+@pytest.mark.parametrize(
+    ("status", "raw"),
+    [
+        (400, b"GET / HTTP/1.1\r\n" + HOST + b"Content-Length: 1\r\nContent-Length: 2\r\n\r\nx"),
+        (400, b"GET / HTTP/1.1\r\n" + HOST + b"Content-Length: 1\r\nContent-Length: 1\r\n\r\nx"),
+        (400, POST + b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"),
+        (400, POST + b"Transfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n0\r\n\r\n"),
+        (501, POST + b"Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n"),
+        (400, b"GET / HTTP/1.1\r\n" + HOST + b"X: b\rc\r\n\r\n"),
+        (400, b"GET / HTTP/1.1\r\nHost: a\rX: b\r\n\r\n"),
+        (400, b"GET / HTTP/1.1\r\n" + HOST + b" folded: x\r\n\r\n"),
+        (400, b"GET / HTTP/1.1\r\nHost : a\r\n\r\n"),
+        (400, b"GET / HTTP/1.1\r\n" + HOST + HOST + b"\r\n"),
+        (400, b"GET / HTTP/1.1\r\n\r\n"),
+        (400, POST + b"Content-Length: +1\r\n\r\nx"),
+        (400, POST + b"Content-Length: 0x1\r\n\r\nx"),
+        (400, POST + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n"),
+        (400, b"\x16\x03\x01\x02\x00\x01\x00"),
+        (413, POST + b"Content-Length: 51\r\n\r\n"),
+        (413, POST + b"Transfer-Encoding: chunked\r\n\r\n40\r\n" + b"x" * 64 + b"\r\n"),
+        (414, b"GET /" + b"a" * 200 + b" HTTP/1.1\r\n"),
+        (414, b"GET /" + b"a" * 200),
+        (431, b"GET / HTTP/1.1\r\n" + HOST + b"x: y\r\n" * 100),
+        (431, b"GET / HTTP/1.1\r\n" + HOST + b"x: " + b"y" * 500),
+        (505, b"GET / HTTP/2.0\r\n" + HOST + b"\r\n"),
+    ],
+    ids=range(22),
+)
 @pytest.mark.parametrize("step", [None, 1, 7])
 def test_what_could_be_read_in_two_ways_or_is_too_long_is_refused(status, raw, step):
     with pytest.raises(http.MessageRefused) as caught:
@@ -49,13 +53,18 @@
 
 @pytest.mark.parametrize("step", [None, 1, 5])
 def test_requests_come_whole_however_they_are_cut(step):
-    raw = (b"GET /a HTTP/1.1\r\n" + HOST + b"X: 1\r\nx: 2\r\n\r\n"
-           b"POST /b HTTP/1.1\r\n" + HOST + b"Transfer-Encoding: chunked\r\n\r\n"
-           b"2\r\nhi\r\n1\r\n!\r\n0\r\n\r\n"
-           b"POST /c HTTP/1.1\r\n" + HOST + b"Content-Length: 2\r\nConnection: close\r\n\r\nok")
+    raw = (
+        b"GET /a HTTP/1.1\r\n" + HOST + b"X: 1\r\nx: 2\r\n\r\n"
+        b"POST /b HTTP/1.1\r\n" + HOST + b"Transfer-Encoding: chunked\r\n\r\n"
+        b"2\r\nhi\r\n1\r\n!\r\n0\r\n\r\n"
+        b"POST /c HTTP/1.1\r\n" + HOST + b"Content-Length: 2\r\nConnection: close\r\n\r\nok"
+    )
     found = fed(raw, step)
     assert [(m.method, m.target, m.body, m.keep) for m in found] == [
-        ("GET", "/a", b"", True), ("POST", "/b", b"hi!", True), ("POST", "/c", b"ok", False)]
+        ("GET", "/a", b"", True),
+        ("POST", "/b", b"hi!", True),
+        ("POST", "/c", b"ok", False),
+    ]
     assert found[0].headers["x"] == "1, 2"
 
 
--- a/tests/wire/test_wire.py
+++ b/tests/wire/test_wire.py
@@ -136,13 +136,20 @@
 
 
 @looped
-@pytest.mark.parametrize(("said", "ending"), [
-    (HEAD + b"ok", "ok"), (b"HTTP/1.1 103 Early Hints\r\n\r\n" + HEAD + b"ok", "ok"),
-    (HEAD + b"o", "broken"), (b"", "broken"), (b"HTTP/1.1 200 OK\r\ncontent-le", "broken"),
-    (b"certainly not HTTP\r\n\r\n", "error"), (b"HTTP/1.1 200 OK\r\n" + b"x: y\r\n" * 9000, "error"),
-    (b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\ncontent-length: 2\r\n\r\nx", "error"),
-    (b"HTTP/1.1 200 OK\r\ncontent-length: 99999999\r\n\r\n", "error"),
-])
+@pytest.mark.parametrize(
+    ("said", "ending"),
+    [
+        (HEAD + b"ok", "ok"),
+        (b"HTTP/1.1 103 Early Hints\r\n\r\n" + HEAD + b"ok", "ok"),
+        (HEAD + b"o", "broken"),
+        (b"", "broken"),
+        (b"HTTP/1.1 200 OK\r\ncontent-le", "broken"),
+        (b"certainly not HTTP\r\n\r\n", "error"),
+        (b"HTTP/1.1 200 OK\r\n" + b"x: y\r\n" * 9000, "error"),
+        (b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\ncontent-length: 2\r\n\r\nx", "error"),
+        (b"HTTP/1.1 200 OK\r\ncontent-length: 99999999\r\n\r\n", "error"),
+    ],
+)
 async def test_what_came_after_the_first_byte_is_never_taken_for_proof(said, ending):
     rig = Rig()
     async with raw_server(said) as port:
