--- a/Makefile
+++ b/Makefile
@@ -16,6 +16,7 @@
 
 lint: .venv/ready
 	.venv/bin/ruff check --no-cache .
+	.venv/bin/ruff format --no-cache --check .
 
 proto: .venv/ready
 	.venv/bin/python -m grpc_tools.protoc -I curlewhall/settings --python_out=curlewhall/settings \
