--- a/bench/fuzz_forms.py
+++ b/bench/fuzz_forms.py
@@ -12,7 +12,7 @@
 import atheris
 
 with atheris.instrument_imports(include=["curlewhall.inventory", "curlewhall.members"]):
-    from curlewhall.inventory import InventoryRefused, csvform, yamlform
+    from curlewhall.inventory import InventoryError, csvform, yamlform
     from curlewhall.inventory.form import text_of
     from curlewhall.members import form
 
@@ -39,7 +39,7 @@
         else:
             at = len(text) % len(YAML)
             yamlform.read(YAML[:at] + text + YAML[at:], 9)
-    except InventoryRefused as err:
+    except InventoryError as err:
         assert err.complaints and all(complaint.line >= 1 for complaint in err.complaints)
 
 
@@ -48,7 +48,7 @@
         for whole in (body, body + form.sign(body, KEY)):
             try:
                 found = form.decode(whole, [KEY])
-            except form.DatagramRefused:
+            except form.DatagramError:
                 continue
             assert form.encode(found, KEY) == whole
 
--- a/bench/fuzz_log.py
+++ b/bench/fuzz_log.py
@@ -2,9 +2,9 @@
 
     python bench/fuzz_log.py -max_total_time=600 [folder of inputs]
 
-Whatever bytes are read, the outcome is entries, `Damaged` or `Newer`; anything else, and a reader that takes
-more than its stated memory, stops the run with the input kept. Not a part of CI, atheris neither: the figures
-of the last run are in `docs/recovery/design.md`.
+Whatever bytes are read, the outcome is entries, `CorruptDataError` or `NewerFormatError`; anything else, and
+a reader that takes more than its stated memory, stops the run with the input kept. Not a part of CI, atheris
+neither: the figures of the last run are in `docs/recovery/design.md`.
 """
 
 import struct
@@ -52,12 +52,12 @@
         for entry in found:
             state.apply(entry)
         assert all(isinstance(entry, Out | Playing | Over | Took | Further) for entry in found)
-    except (form.Damaged, form.Newer):
+    except (form.CorruptDataError, form.NewerFormatError):
         pass
     try:
         for entry in form.read_snapshot(raw):
             state.apply(entry)
-    except (form.Damaged, form.Newer):
+    except (form.CorruptDataError, form.NewerFormatError):
         pass
     state.rows()
 
--- a/bench/workers.py
+++ b/bench/workers.py
@@ -19,7 +19,7 @@
 from front import process
 from rig import plan_for
 
-from curlewhall.daemon.control import NotThere, ask
+from curlewhall.daemon.control import DaemonNotRunningError, ask
 
 RIG = str(Path(__file__).with_name("rig.py"))
 
@@ -106,7 +106,7 @@
 def serving(home: Path) -> bool:
     try:
         return all(row["state"] == "serving" for row in ask(home, "status")["workers"])
-    except NotThere:
+    except DaemonNotRunningError:
         return False
 
 
--- a/curlewhall/cli/daemon.py
+++ b/curlewhall/cli/daemon.py
@@ -11,8 +11,8 @@
 from rich.table import Table
 
 from curlewhall import logs
-from curlewhall.daemon.control import NotThere, ask, folder_of
-from curlewhall.errors import told
+from curlewhall.daemon.control import DaemonNotRunningError, ask, folder_of
+from curlewhall.errors import describe
 
 from .files import settings_of
 
@@ -22,8 +22,8 @@
 def tell(file: str, what: str) -> dict:
     try:
         return ask(folder_of(settings_of(file)), what)
-    except NotThere as err:
-        click.echo(err.told, err=True)
+    except DaemonNotRunningError as err:
+        click.echo(err.full_message, err=True)
         sys.exit(3)
 
 
@@ -60,7 +60,7 @@
     found = settings_of(file)
     if detach:
         sys.exit(detached(file, folder_of(found), log_file, wait))
-    from curlewhall.daemon.run import Daemon, FolderTaken
+    from curlewhall.daemon.run import Daemon, FolderInUseError
     from curlewhall.settings import front_pb2
 
     log = logs.make(front_pb2.LogForm.Name(found.logs.form).lower(), found.logs.level or "info")
@@ -70,8 +70,8 @@
 
     try:
         uvloop.run(run())
-    except (OSError, FolderTaken) as err:
-        click.echo(f"can't start: {told(err)}", err=True)
+    except (OSError, FolderInUseError) as err:
+        click.echo(f"can't start: {describe(err)}", err=True)
         sys.exit(1)
 
 
@@ -93,7 +93,7 @@
             if state.get("pid") == child.pid and all(w["state"] == "serving" for w in state["workers"]):
                 click.echo(f"serving at {state['address']}, process {child.pid}")
                 return 0
-        except NotThere:
+        except DaemonNotRunningError:
             pass
         time.sleep(0.05)
     if child.poll() is None:
--- a/curlewhall/cli/inventory.py
+++ b/curlewhall/cli/inventory.py
@@ -8,7 +8,7 @@
 
 import click
 
-from curlewhall.inventory import InventoryRefused, csvform, yamlform
+from curlewhall.inventory import InventoryError, csvform, yamlform
 from curlewhall.inventory.decide import compare, implausible
 from curlewhall.inventory.run import YAML, Files, Read, load
 
@@ -32,8 +32,8 @@
     """A sound inventory; a wrong one ends the command with every complaint and code 1, no file with 2."""
     try:
         return load(Files(file, titles), places)
-    except InventoryRefused as err:
-        click.echo(err.told, err=True)
+    except InventoryError as err:
+        click.echo(err.full_message, err=True)
         sys.exit(1)
     except OSError as err:
         click.echo(f"{err.filename}: {err.strerror}", err=True)
--- a/curlewhall/cli/main.py
+++ b/curlewhall/cli/main.py
@@ -10,7 +10,7 @@
 from rich.table import Table
 
 from curlewhall import logs
-from curlewhall.errors import told
+from curlewhall.errors import describe
 
 from . import daemon, inventory
 from .files import settings_of
@@ -122,7 +122,7 @@
     Exit code 0: all rules kept and the drill's claims hold; 1: something broke; 2: the call was wrong.
     """
     from curlewhall.drills import DRILLS, FRONTS, Day, run
-    from curlewhall.drills.fleet import Failed
+    from curlewhall.drills.fleet import DrillProcessError
     from curlewhall.front.serve import policy as named
 
     console = Console(stderr=True)
@@ -140,8 +140,8 @@
         result = run(name, DRILLS[name], day, lambda text: console.print(text, style="dim", highlight=False))
     except ValueError as err:
         raise click.UsageError(str(err)) from None
-    except Failed as err:
-        click.echo(told(err), err=True)
+    except DrillProcessError as err:
+        click.echo(describe(err), err=True)
         sys.exit(1)
     console.print(f"played and judged in {time.monotonic() - began:.0f} s", style="dim")
     text = json.dumps(result.report, indent=1)
@@ -163,12 +163,12 @@
 def demo(seconds: float, seed: int) -> None:
     """Show a small fleet of stand-ins with two fronts and viewers; a node dies and comes back."""
     from curlewhall.drills.demo import demo as show
-    from curlewhall.drills.fleet import Failed
+    from curlewhall.drills.fleet import DrillProcessError
 
     try:
         sys.exit(show(seconds, seed, Console()))
-    except Failed as err:
-        click.echo(told(err), err=True)
+    except DrillProcessError as err:
+        click.echo(describe(err), err=True)
         sys.exit(1)
 
 
--- a/curlewhall/daemon/control.py
+++ b/curlewhall/daemon/control.py
@@ -7,12 +7,12 @@
 
 import msgspec
 
-from curlewhall.errors import Mishap
+from curlewhall.errors import CurlewhallError
 
 PID, CONTROL = "pid", "control"
 
 
-class NotThere(Mishap):
+class DaemonNotRunningError(CurlewhallError):
     """No daemon answers."""
 
     remedy = "Start it with 'curlewhall start FILE', with the same FILE and as the same user."
@@ -27,7 +27,7 @@
 
 
 def ask(folder: Path, what: str, patience: float = 150.0) -> dict:
-    """Say a word to the daemon and read its answer; `NotThere` where none comes."""
+    """Say a word to the daemon and read its answer; `DaemonNotRunningError` where none comes."""
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
         sock.settimeout(patience)
         try:
@@ -37,8 +37,10 @@
             while piece := sock.recv(1 << 16):
                 said += piece
         except OSError as err:
-            raise NotThere(f"no daemon answers at {folder / CONTROL}: {err.strerror or err}") from None
+            raise DaemonNotRunningError(
+                f"no daemon answers at {folder / CONTROL}: {err.strerror or err}"
+            ) from None
     try:
         return msgspec.json.decode(said)
     except msgspec.DecodeError:
-        raise NotThere(f"the daemon at {folder / CONTROL} ended before it answered") from None
+        raise DaemonNotRunningError(f"the daemon at {folder / CONTROL} ended before it answered") from None
--- a/curlewhall/daemon/run.py
+++ b/curlewhall/daemon/run.py
@@ -16,8 +16,8 @@
 
 import msgspec
 
-from curlewhall.errors import Mishap
-from curlewhall.settings import WrongFile, front_pb2, load
+from curlewhall.errors import CurlewhallError
+from curlewhall.settings import SettingsError, front_pb2, load
 from curlewhall.wire.server import listen
 from curlewhall.wire.timers import Timers
 
@@ -30,7 +30,7 @@
 SAID = 40  # bytes of a request on the control socket: a word and a newline
 
 
-class FolderTaken(Mishap):
+class FolderInUseError(CurlewhallError):
     """Another daemon runs with this folder."""
 
     remedy = (
@@ -71,7 +71,7 @@
 
 
 class Daemon:
-    """Runs until it is told to stop. `OSError` and `FolderTaken` from `open` say why it can't start."""
+    """Runs until it is told to stop. `OSError` and `FolderInUseError` from `open` say why it can't start."""
 
     def __init__(self, path: str, file: front_pb2.FrontFile, log, policy: str = "", mover: str = "") -> None:
         self.path, self.file, self.log = path, file, log
@@ -96,7 +96,9 @@
         """The folder, the lock, the control socket and the viewers' socket; all or nothing."""
         self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
         if os.stat(self.folder).st_uid != os.getuid() or os.stat(self.folder).st_mode & 0o077:
-            raise FolderTaken(f"{self.folder}: expected a folder that only its owner can enter (mode 700)")
+            raise FolderInUseError(
+                f"{self.folder}: expected a folder that only its owner can enter (mode 700)"
+            )
         self.lock = os.open(self.folder / PID, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -104,7 +106,7 @@
             other = os.read(self.lock, 20).decode().strip()
             os.close(self.lock)
             self.lock = None
-            raise FolderTaken(f"{self.folder}: a daemon runs there already, process {other}") from None
+            raise FolderInUseError(f"{self.folder}: a daemon runs there already, process {other}") from None
         os.ftruncate(self.lock, 0)
         os.pwrite(self.lock, f"{os.getpid()}\n".encode(), 0)
         where = self.file.listen
@@ -334,7 +336,7 @@
         """Why the file as it is now can't be handed over to; a wrong file changes nothing."""
         try:
             file = load(self.path)
-        except (WrongFile, OSError) as err:
+        except (SettingsError, OSError) as err:
             return f"nothing was changed: {err}"
         same = [
             ("listen.address", file.listen.address, self.file.listen.address),
--- a/curlewhall/daemon/worker.py
+++ b/curlewhall/daemon/worker.py
@@ -14,12 +14,12 @@
 import uvloop
 
 from curlewhall import logs
-from curlewhall.errors import told
+from curlewhall.errors import describe
 from curlewhall.front.collector import calm_collector
 from curlewhall.front.serve import FrontProcess, policy, raise_descriptors
-from curlewhall.recovery.form import Newer
-from curlewhall.recovery.store import Busy
-from curlewhall.settings import WrongFile, front_pb2, load
+from curlewhall.recovery.form import NewerFormatError
+from curlewhall.recovery.store import StoreLockedError
+from curlewhall.settings import SettingsError, front_pb2, load
 
 from .channel import Channel
 from .decide import owner
@@ -81,8 +81,8 @@
     def begin(self, coming) -> None:
         try:
             self.front = FrontProcess(self.file, self.log, self.make, self.mover, coming)
-        except (OSError, Busy, Newer, ValueError) as err:
-            self.fail(told(err))
+        except (OSError, StoreLockedError, NewerFormatError, ValueError) as err:
+            self.fail(describe(err))
             return
         self.loop.create_task(self.serve(coming))
 
@@ -90,7 +90,7 @@
         try:
             await self.front.start(self.sock, self.page and self.page.dup())
         except OSError as err:
-            self.fail(told(err))
+            self.fail(describe(err))
             return
         if self.workers > 1:
             self.front.server.route = self.route
@@ -203,7 +203,7 @@
 async def main(daemon: int, path: str, slot: int, workers: int, make: str = "", mover: str = "") -> int:
     try:
         file = of_slot(load(path), slot, workers)
-    except (WrongFile, OSError) as err:
+    except (SettingsError, OSError) as err:
         print(err, file=sys.stderr)
         return 2
     log = logs.make(front_pb2.LogForm.Name(file.logs.form).lower(), file.logs.level or "info")
--- a/curlewhall/dash/manifest.py
+++ b/curlewhall/dash/manifest.py
@@ -10,7 +10,7 @@
 
 from lxml import etree
 
-from curlewhall.errors import Mishap
+from curlewhall.errors import CurlewhallError
 
 NS = "urn:mpeg:dash:schema:mpd:2011"
 PROFILE = "urn:mpeg:dash:profile:isoff-live:2011"
@@ -33,7 +33,7 @@
     location: str = ""  # where the MPD is asked for anew (5.3.1.2, Location); "": where it came from
 
 
-class BadManifest(Mishap):
+class ManifestError(CurlewhallError):
     """An MPD that a player could not play."""
 
     remedy = "Look at what answers in the front's place: no front of this program writes it."
@@ -102,13 +102,13 @@
 
 
 def read(text: bytes) -> Plan:
-    """What a player takes from an MPD; `BadManifest` says what is missing or wrong."""
+    """What a player takes from an MPD; `ManifestError` says what is missing or wrong."""
     try:
         mpd = etree.fromstring(text, PARSER)
         base = mpd.findtext(f"{{{NS}}}BaseURL")
         template = mpd.find(f".//{{{NS}}}SegmentTemplate")
         if mpd.tag != f"{{{NS}}}MPD" or not base or template is None:
-            raise BadManifest("no MPD, no BaseURL or no SegmentTemplate")
+            raise ManifestError("no MPD, no BaseURL or no SegmentTemplate")
         rungs = [
             (int(r.get("id")[1:]), int(r.get("bandwidth")))
             for r in mpd.iterfind(f".//{{{NS}}}Representation")
@@ -116,7 +116,7 @@
         whole = mpd.get("mediaPresentationDuration")
         token = template.get("media").partition("?t=")[2]
         if not rungs or not token:
-            raise BadManifest("no Representation or no token")
+            raise ManifestError("no Representation or no token")
         return Plan(
             base,
             token,
@@ -127,4 +127,4 @@
             mpd.findtext(f"{{{NS}}}Location") or "",
         )
     except (etree.XMLSyntaxError, TypeError, ValueError, AttributeError) as err:
-        raise BadManifest(f"{type(err).__name__}: {err}") from None
+        raise ManifestError(f"{type(err).__name__}: {err}") from None
--- a/curlewhall/dash/tokens.py
+++ b/curlewhall/dash/tokens.py
@@ -5,7 +5,7 @@
 
 import jwt
 
-from curlewhall.errors import Mishap
+from curlewhall.errors import CurlewhallError
 
 ALGORITHM = "HS256"
 LEEWAY = 2  # seconds: about what clocks of kept machines differ
@@ -22,7 +22,7 @@
     product: str
 
 
-class BadToken(Mishap):
+class TokenError(CurlewhallError):
     """A token that is not taken; the text says why, without the token."""
 
     remedy = "Give fronts and nodes the same key file, and look at the clocks of both machines."
@@ -52,7 +52,7 @@
 
 
 def check(token: str, key: bytes, node: str) -> Session:
-    """The session of a token made for `node` that is signed, whole and in time; else `BadToken`."""
+    """The session of a token made for `node` that is signed, whole and in time; else `TokenError`."""
     try:
         claims = jwt.decode(
             token,
@@ -71,4 +71,4 @@
             str(claims.get("prd", "")),
         )
     except (jwt.PyJWTError, TypeError, ValueError) as err:
-        raise BadToken(f"{type(err).__name__}: {err}") from None
+        raise TokenError(f"{type(err).__name__}: {err}") from None
--- a/curlewhall/drills/fleet.py
+++ b/curlewhall/drills/fleet.py
@@ -21,8 +21,8 @@
 
 from google.protobuf import text_format
 
-from curlewhall.daemon.control import NotThere, ask
-from curlewhall.errors import Mishap
+from curlewhall.daemon.control import DaemonNotRunningError, ask
+from curlewhall.errors import CurlewhallError
 from curlewhall.inventory import Inventory, yamlform
 from curlewhall.records import Writer
 from curlewhall.settings import front_pb2
@@ -35,7 +35,7 @@
 LIFE = {"dear": (5, 12), "plain": (4, 10), "paid": (6, 14)}  # seconds: short, so that a short day turns over
 
 
-class Failed(Mishap):
+class DrillProcessError(CurlewhallError):
     """A process of the drill did not start, or ended by itself."""
 
     remedy = "Read the log of the process named above; play again with --keep FOLDER to have all of them."
@@ -335,7 +335,7 @@
     def await_line(
         self, process: subprocess.Popen, word: str, name: str, span: float = 30.0, since: int = 0
     ) -> None:
-        """Wait until the process has written `word`; `Failed` when it ends first or takes too long."""
+        """Wait until the process has written `word`; `DrillProcessError` when it ends first or takes too long."""
         until = time.monotonic() + span
         while time.monotonic() < until:
             if word.encode() in (self.folder / f"{name}.log").read_bytes()[since:]:
@@ -344,7 +344,7 @@
                 break
             time.sleep(0.02)
         text = (self.folder / f"{name}.log").read_text(errors="replace")[-2000:]
-        raise Failed(f"{name} did not get ready:\n{text}")
+        raise DrillProcessError(f"{name} did not get ready:\n{text}")
 
     def start_front(self, name: str) -> None:
         path = self.folder / f"{name}.log"
@@ -451,7 +451,7 @@
             began = time.monotonic()
             try:
                 reply = ask(Path(daemon_folder(self.plan, index)), what)
-            except NotThere as err:
+            except DaemonNotRunningError as err:
                 reply = {"ok": False, "text": str(err)}
             span = time.monotonic() - began
             back = self.console_back(index) if what == "restart" and self.plan.get("console") else 0.0
@@ -562,11 +562,11 @@
         urllib.request.build_opener(urllib.request.ProxyHandler({})).open(request, timeout=10).close()
 
     def check(self) -> None:
-        """`Failed` when a process that should run has ended by itself."""
+        """`DrillProcessError` when a process that should run has ended by itself."""
         for name, process in {"fleet": self.fleet, **self.fronts}.items():
             code = process.poll()
             if code not in (None, -9):
-                raise Failed(
+                raise DrillProcessError(
                     f"{name} ended with {code}:\n"
                     + (self.folder / f"{name}.log").read_text(errors="replace")[-2000:]
                 )
--- a/curlewhall/drills/play.py
+++ b/curlewhall/drills/play.py
@@ -56,7 +56,7 @@
     day: Day,
     tell: Callable[[str], None] = lambda text: None,
 ) -> Result:
-    """Play and judge; `Failed` when a process does not start or ends by itself."""
+    """Play and judge; `DrillProcessError` when a process does not start or ends by itself."""
     folder = Path(tempfile.mkdtemp(prefix="curlewhall-drill-"))
     try:
         plan = make_plan(day.seed, day.nodes, day.fronts, day.seconds, folder)
--- a/curlewhall/errors.py
+++ b/curlewhall/errors.py
@@ -5,21 +5,21 @@
 """
 
 
-class Mishap(Exception):
-    """`what`: what was seen. `remedy`: what an operator can do, the same for all of a kind."""
+class CurlewhallError(Exception):
+    """`detail`: what was seen. `remedy`: what an operator can do, the same for all of a kind."""
 
     remedy = "Report this with the log around it: it is an error of the program."
 
     @property
-    def what(self) -> str:
+    def detail(self) -> str:
         return str(self)
 
     @property
-    def told(self) -> str:
+    def full_message(self) -> str:
         """Both, for a command line or a log; one line where what was seen is one."""
-        return f"{self.what}{chr(10) if chr(10) in self.what else ' - '}{self.remedy}"
+        return f"{self.detail}{chr(10) if chr(10) in self.detail else ' - '}{self.remedy}"
 
 
-def told(err: Exception) -> str:
+def describe(err: Exception) -> str:
     """What there is to say of any error: with its remedy where it is one of ours."""
-    return err.told if isinstance(err, Mishap) else str(err)
+    return err.full_message if isinstance(err, CurlewhallError) else str(err)
--- a/curlewhall/front/listing.py
+++ b/curlewhall/front/listing.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from urllib.parse import quote
 
-from curlewhall.errors import told
+from curlewhall.errors import describe
 from curlewhall.inventory.form import Inventory
 from curlewhall.start import Asks, Belief, Churn, Stamp, age, ready
 from curlewhall.start.decide import UNREADY
@@ -88,8 +88,8 @@
         if self.kept and os.path.exists(self.kept) and not self.rows:
             try:
                 self.read(Path(self.kept))
-            except (OSError, forms.FormUnreadable) as err:
-                self.driver.log.warning("the kept list can't be read", why=told(err))
+            except (OSError, forms.DecodeError) as err:
+                self.driver.log.warning("the kept list can't be read", why=describe(err))
         wait = self.asks.begin(self.asks.life, self.version)
         if self.watcher is not None:
             self.watcher.start()
@@ -134,7 +134,7 @@
         self.driver.log.info("list from a peer", version=listing.version, age_s=round(seconds), whole=whole)
 
     def read(self, path: Path) -> None:
-        """Go by the kept list, as far as its age lets it be believed. `OSError`, `FormUnreadable`."""
+        """Go by the kept list, as far as its age lets it be believed. `OSError`, `DecodeError`."""
         old = forms.decode(forms.Listing, path.read_bytes())
         kept = old.kept or forms.Kept(unix_ms=int(path.stat().st_mtime * 1000))  # an earlier program's
         self.stamp = Stamp(kept.unix_ms, kept.boot, kept.steady_s)
@@ -226,8 +226,8 @@
         try:
             for line in self.lines.feed(piece):
                 self.line(forms.decode(forms.Listing, line))
-        except forms.FormUnreadable as err:
-            self.driver.log.warning("the list is malformed", why=told(err))
+        except forms.DecodeError as err:
+            self.driver.log.warning("the list is malformed", why=describe(err))
             self.driver.timers.after(0, self.stream.withdraw)
 
     def line(self, listing: forms.Listing) -> None:
--- a/curlewhall/front/lists.py
+++ b/curlewhall/front/lists.py
@@ -12,7 +12,7 @@
 from urllib.parse import parse_qsl, quote
 
 from curlewhall.dash import tokens
-from curlewhall.errors import told
+from curlewhall.errors import describe
 from curlewhall.start import Borrows, Had, Lends, Stamp, age, better
 from curlewhall.start.decide import LENT_LATER
 from curlewhall.wire import forms
@@ -108,8 +108,8 @@
         try:
             listing = forms.decode(forms.Listing, reply.message.body)
             seconds = float(reply.message.headers.get("age", ""))
-        except (forms.FormUnreadable, ValueError) as err:
-            self.follower.driver.log.warning("a peer's list is malformed", peer=peer, why=told(err))
+        except (forms.DecodeError, ValueError) as err:
+            self.follower.driver.log.warning("a peer's list is malformed", peer=peer, why=describe(err))
             self.again(peer, False)
             return
         if self.follower.astray:
@@ -132,7 +132,7 @@
         bearer, follower = exchange.request.headers.get("authorization", ""), self.follower
         try:
             tokens.check(bearer.removeprefix("Bearer "), self.key, AUDIENCE)
-        except tokens.BadToken as err:
+        except tokens.TokenError as err:
             problems.answer(exchange, 403, f"lists are for fronts of this fleet: {err}")
             return
         mine, given = had(follower), dict(parse_qsl(query))
--- a/curlewhall/front/nodes.py
+++ b/curlewhall/front/nodes.py
@@ -8,7 +8,7 @@
 import time
 from collections.abc import Callable
 
-from curlewhall.errors import told
+from curlewhall.errors import describe
 from curlewhall.interface import NodeRow
 from curlewhall.start import Turns
 from curlewhall.wire import forms
@@ -135,7 +135,7 @@
                     how, report = "full", done.report
                 else:
                     how = "error"
-            except forms.FormUnreadable:
+            except forms.DecodeError:
                 how = "error"
         self.driver.set_up_ended(held, number, name, how, reply.took, report)
 
@@ -185,7 +185,7 @@
             return reply.ending, {}
         try:
             load = forms.decode(forms.Load, reply.message.body)
-        except forms.FormUnreadable:
+        except forms.DecodeError:
             return "error", {}
         sound = reply.message.status == 200 and load.node == name
         return ("ok", load.report) if sound else ("error", {})
@@ -239,8 +239,8 @@
         try:
             for line in node.lines.feed(piece):
                 self.event(node.row.node, forms.decode(forms.Event, line))
-        except forms.FormUnreadable as err:
-            self.driver.log.warning("a node's stream is malformed", node=node.row.node, why=told(err))
+        except forms.DecodeError as err:
+            self.driver.log.warning("a node's stream is malformed", node=node.row.node, why=describe(err))
             self.loop.call_soon(node.stream.withdraw)
 
     def stream_ended(self, node: Node, reply: Reply) -> None:
--- a/curlewhall/front/parting.py
+++ b/curlewhall/front/parting.py
@@ -80,10 +80,10 @@
         try:
             offer = forms.decode(forms.Offer, exchange.request.body)
             session = tokens.check(bearer.removeprefix("Bearer "), self.viewers.key, AUDIENCE)
-        except forms.FormUnreadable as err:
-            problems.answer(exchange, 400, err.what, remedy=err.remedy)
+        except forms.DecodeError as err:
+            problems.answer(exchange, 400, err.detail, remedy=err.remedy)
             return
-        except tokens.BadToken as err:
+        except tokens.TokenError as err:
             problems.answer(exchange, 403, f"an offer of nobody: {err}")
             return
         facts = offer.facts
--- a/curlewhall/front/serve.py
+++ b/curlewhall/front/serve.py
@@ -13,16 +13,16 @@
 import uvloop
 
 from curlewhall.dash.tokens import read_key
-from curlewhall.errors import told
+from curlewhall.errors import describe
 from curlewhall.inventory.run import Files, Watcher
 from curlewhall.members.run import Membership
 from curlewhall.moves import Mover
 from curlewhall.moves.run import Moves
-from curlewhall.recovery.form import Newer
+from curlewhall.recovery.form import NewerFormatError
 from curlewhall.recovery.run import Keeper
 from curlewhall.recovery.state import State
-from curlewhall.recovery.store import Busy, Memory, Store
 from curlewhall.recovery.store import Files as StateFiles
+from curlewhall.recovery.store import Memory, Store, StoreLockedError
 from curlewhall.settings import rate_card
 from curlewhall.settings.front_pb2 import STRICT, FrontFile
 from curlewhall.settings.keys import read_keys
@@ -185,7 +185,7 @@
     def open_store(self) -> None:
         """The state's folder, or the budget's window alone where there is none.
 
-        `Busy`, `Newer`, `OSError`: the folder can't be had.
+        `StoreLockedError`, `NewerFormatError`, `OSError`: the folder can't be had.
         """
         file, log = self.file, self.log
         if file.state.folder:
@@ -345,7 +345,7 @@
     raise_descriptors()
     try:
         uvloop.run(until_told(file, log, make, mover, sites))
-    except (Busy, Newer) as err:
-        raise OSError(told(err)) from None
+    except (StoreLockedError, NewerFormatError) as err:
+        raise OSError(describe(err)) from None
     except KeyboardInterrupt:
         pass
--- a/curlewhall/front/viewers.py
+++ b/curlewhall/front/viewers.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from curlewhall.dash import manifest, tokens
-from curlewhall.errors import Mishap
+from curlewhall.errors import CurlewhallError
 from curlewhall.wire.forms import Facts, Title
 from curlewhall.wire.server import Exchange
 
@@ -19,7 +19,7 @@
 MOVED = 10_000  # plays moved lately whose viewers have yet to come again
 
 
-class RequestRefused(Mishap):
+class RequestError(CurlewhallError):
     """A request that can't be taken; the text is for its sender."""
 
     remedy = "Correct the request: the detail names the parameter and what is expected."
@@ -54,8 +54,8 @@
         elif url.path.startswith("/play/"):
             try:
                 self.take(exchange, unquote(url.path[6:]), url.query)
-            except RequestRefused as err:
-                problems.answer(exchange, 400, err.what, remedy=err.remedy)
+            except RequestError as err:
+                problems.answer(exchange, 400, err.detail, remedy=err.remedy)
         elif url.path == "/v1/health":
             ready = self.open and (self.follower is None or self.follower.ready)
             fields = {"content-type": "application/json", "cache-control": "no-store"}
@@ -119,11 +119,11 @@
             return
         product = given.get("product", "")
         if product not in self.products:
-            raise RequestRefused(f"product: found {product!r}, expected one of {', '.join(self.products)}")
+            raise RequestError(f"product: found {product!r}, expected one of {', '.join(self.products)}")
         index, terms = self.products[product]
         viewer = given.get("viewer", "")
         if not 1 <= len(viewer) <= 128:
-            raise RequestRefused("viewer: expected 1 to 128 characters")
+            raise RequestError("viewer: expected 1 to 128 characters")
         card = self.driver.card
         top = number(given, "top", len(card["specifics.rung_kb"]) - 1, 0, 1000)
         limit = 10 * number(given, "limit_ms", terms["time_limit"] // 10, 1, terms["time_limit"] // 10)
@@ -145,7 +145,7 @@
         floor = card["specifics.floor_by_class"][index]
         # The play's top can't lie under its product's floor: such a viewer can't be served within the terms.
         if top < floor:
-            raise RequestRefused(f"top: found {top}, expected {floor} at least for {product}")
+            raise RequestError(f"top: found {top}, expected {floor} at least for {product}")
         facts = Facts(
             play=f"{self.front}-{self.boot:x}-{self.count:x}",
             number=0,
@@ -301,5 +301,5 @@
     if text is None:
         return plain
     if not (text.isascii() and text.isdigit() and len(text) < 12) or int(text) < low:
-        raise RequestRefused(f"{name}: found {text[:20]!r}, expected a whole number, {low} at least")
+        raise RequestError(f"{name}: found {text[:20]!r}, expected a whole number, {low} at least")
     return min(int(text), high)
--- a/curlewhall/inventory/__init__.py
+++ b/curlewhall/inventory/__init__.py
@@ -5,6 +5,6 @@
 `docs/inventory/`.
 """
 
-from .form import Inventory, InventoryRefused
+from .form import Inventory, InventoryError
 
-__all__ = ["Inventory", "InventoryRefused"]
+__all__ = ["Inventory", "InventoryError"]
--- a/curlewhall/inventory/csvform.py
+++ b/curlewhall/inventory/csvform.py
@@ -13,16 +13,16 @@
     Complaint,
     Entry,
     Inventory,
-    InventoryRefused,
+    InventoryError,
     nearest,
 )
 
 
 def entries(text: str, fields: dict, needed: tuple[str, ...], file: str = "") -> list[Entry]:
-    """The rows below the header; `InventoryRefused` where the header or the form itself is wrong."""
+    """The rows below the header; `InventoryError` where the header or the form itself is wrong."""
     if text and not text.endswith(("\n", "\r")):
         last = text.count("\n") + 1
-        raise InventoryRefused(
+        raise InventoryError(
             [Complaint(last, "the last line has no end; the file may be half written", file)]
         )
     reader = csv.reader(io.StringIO(text, newline=""), strict=True)
@@ -53,13 +53,13 @@
                     )
                 )
             if len(found) * len(header) > MOST:
-                raise InventoryRefused([Complaint(line, f"more than {MOST} values", file)])
+                raise InventoryError([Complaint(line, f"more than {MOST} values", file)])
     except csv.Error as err:
         wrong.append(Complaint(begun, f"not comma-separated values: {err}", file))
     if header is None and not wrong:
         wrong.append(Complaint(1, "empty: not even a header", file))
     if wrong:
-        raise InventoryRefused(wrong)
+        raise InventoryError(wrong)
     return found
 
 
@@ -77,7 +77,7 @@
 def read(
     hosts: str, titles: str | None = None, places: int = 0, names: tuple[str, str] = ("", "")
 ) -> Inventory:
-    """A sound inventory, or `InventoryRefused` with all that is wrong with it. `names`: the files', for
+    """A sound inventory, or `InventoryError` with all that is wrong with it. `names`: the files', for
     complaints.
     """
     checker = Checker()
@@ -90,7 +90,7 @@
         try:
             for entry in entries(text, fields, needed, name):
                 take(entry)
-        except InventoryRefused as err:
+        except InventoryError as err:
             checker.complaints += err.complaints
     return checker.done(places)
 
--- a/curlewhall/inventory/form.py
+++ b/curlewhall/inventory/form.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from typing import Any, NamedTuple
 
-from curlewhall.errors import Mishap
+from curlewhall.errors import CurlewhallError
 from curlewhall.wire.forms import ROW_BOUNDS, TITLE_BOUNDS, Row, Title, is_address
 
 LARGEST = 32 << 20  # bytes of a file: a hundred times the 300 kB of 2,000 nodes and titles
@@ -41,7 +41,7 @@
         return f"{self.file + ', ' if self.file else ''}line {self.line}: {self.text}"
 
 
-class InventoryRefused(Mishap):
+class InventoryError(CurlewhallError):
     """An inventory that is refused, with everything that is wrong with it."""
 
     remedy = (
@@ -193,7 +193,7 @@
                         )
                     )
         if self.complaints:
-            raise InventoryRefused(self.complaints)
+            raise InventoryError(self.complaints)
         return Inventory(self.rows, self.titles)
 
 
@@ -217,16 +217,16 @@
 
 
 def text_of(raw: bytes, file: str = "") -> str:
-    """The file's text; `InventoryRefused` where it is too long or not UTF-8. A byte-order mark is passed
+    """The file's text; `InventoryError` where it is too long or not UTF-8. A byte-order mark is passed
     over.
     """
     if len(raw) > LARGEST:
-        raise InventoryRefused([Complaint(1, f"{len(raw)} bytes, expected {LARGEST} at most", file)])
+        raise InventoryError([Complaint(1, f"{len(raw)} bytes, expected {LARGEST} at most", file)])
     try:
         text = raw.decode("utf-8-sig")
     except UnicodeDecodeError as err:
         line = raw.count(b"\n", 0, err.start) + 1
-        raise InventoryRefused(
+        raise InventoryError(
             [
                 Complaint(
                     line,
@@ -237,7 +237,7 @@
             ]
         ) from None
     if "\0" in text:
-        raise InventoryRefused(
+        raise InventoryError(
             [Complaint(text.count("\n", 0, text.index("\0")) + 1, "a NUL byte; is it UTF-16?", file)]
         )
     return text
--- a/curlewhall/inventory/run.py
+++ b/curlewhall/inventory/run.py
@@ -6,12 +6,12 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from curlewhall.errors import told
+from curlewhall.errors import describe
 from curlewhall.wire import forms
 
 from . import csvform, yamlform
 from .decide import applied, compare, implausible
-from .form import Complaint, Inventory, InventoryRefused, text_of
+from .form import Complaint, Inventory, InventoryError, text_of
 
 EVERY = 0.5  # seconds between two looks at the files
 YAML = (".yaml", ".yml")
@@ -30,12 +30,12 @@
 
 
 def load(files: Files, places: int = 0) -> Read:
-    """Read and check; `InventoryRefused` with all complaints, `OSError` where a file can't be read."""
+    """Read and check; `InventoryError` with all complaints, `OSError` where a file can't be read."""
     raw = [Path(name).read_bytes() for name in files if name]
     texts = [text_of(data, name) for data, name in zip(raw, filter(None, files), strict=True)]
     if Path(files.hosts).suffix.lower() in YAML:
         if files.titles:
-            raise InventoryRefused(
+            raise InventoryError(
                 [Complaint(1, "the titles of a YAML inventory stand in the same file", files.titles)]
             )
         found = yamlform.read(texts[0], places, files.hosts)
@@ -105,8 +105,8 @@
     def read(self, now: tuple) -> None:
         try:
             found = load(self.files, self.places)
-        except InventoryRefused as err:
-            self.refuse(told(err), now)
+        except InventoryError as err:
+            self.refuse(describe(err), now)
             return
         except OSError as err:
             self.refuse(f"{err.filename}: {err.strerror}", now)
@@ -163,8 +163,8 @@
             return "no change waits to be confirmed"
         try:
             found = load(self.files, self.places)
-        except (InventoryRefused, OSError) as err:
-            return told(err)
+        except (InventoryError, OSError) as err:
+            return describe(err)
         if digest != self.waiting or found.digest != digest:
             return f"the change that waits is {self.waiting}, the file is {found.digest} now"
         self.consider(found, confirmed=True)
--- a/curlewhall/inventory/yamlform.py
+++ b/curlewhall/inventory/yamlform.py
@@ -13,7 +13,7 @@
 
 import yaml
 
-from .form import HOST, MOST, Checker, Complaint, Entry, Inventory, InventoryRefused
+from .form import HOST, MOST, Checker, Complaint, Entry, Inventory, InventoryError
 
 DEEP = 40  # mappings within each other; ours need six
 LOADER = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
@@ -36,7 +36,7 @@
         # Danger: a few lines of aliases to aliases stand for millions of values.
         self.left -= 1
         if self.left < 0:
-            raise InventoryRefused(
+            raise InventoryError(
                 [Complaint(self.line(node), f"more than {MOST} values, aliases followed", self.file)]
             )
 
@@ -49,7 +49,7 @@
             self.wrong(node, f"{what}: found {node.id}, expected a mapping")
             return []
         if deep > DEEP:
-            raise InventoryRefused(
+            raise InventoryError(
                 [Complaint(self.line(node), f"more than {DEEP} mappings within each other", self.file)]
             )
         found: dict[str, tuple[object, object]] = {}
@@ -111,9 +111,9 @@
 
 
 def read(text: str, places: int = 0, file: str = "") -> Inventory:
-    """A sound inventory, or `InventoryRefused` with all that is wrong with it."""
+    """A sound inventory, or `InventoryError` with all that is wrong with it."""
     if text and not text.endswith("\n"):
-        raise InventoryRefused(
+        raise InventoryError(
             [Complaint(text.count("\n") + 1, "the last line has no end; the file may be half written", file)]
         )
     reader = Reader(file)
@@ -122,15 +122,13 @@
     except yaml.MarkedYAMLError as err:
         mark = err.problem_mark or err.context_mark
         why = " ".join(filter(None, (err.context, err.problem)))
-        raise InventoryRefused([Complaint(mark.line + 1 if mark else 1, f"not YAML: {why}", file)]) from None
+        raise InventoryError([Complaint(mark.line + 1 if mark else 1, f"not YAML: {why}", file)]) from None
     except (yaml.YAMLError, ValueError) as err:
-        raise InventoryRefused(
-            [Complaint(1, f"not YAML: {' '.join(str(err).split())[:200]}", file)]
-        ) from None
+        raise InventoryError([Complaint(1, f"not YAML: {' '.join(str(err).split())[:200]}", file)]) from None
     except RecursionError:
-        raise InventoryRefused([Complaint(1, "values within each other without end", file)]) from None
+        raise InventoryError([Complaint(1, "values within each other without end", file)]) from None
     if len(documents) != 1 or documents[0] is None:
-        raise InventoryRefused(
+        raise InventoryError(
             [Complaint(1, f"{sum(d is not None for d in documents)} documents, expected one", file)]
         )
     try:
@@ -140,7 +138,7 @@
             else:
                 reader.group(name, node, {}, 0)
     except RecursionError:
-        raise InventoryRefused([Complaint(1, "values within each other without end", file)]) from None
+        raise InventoryError([Complaint(1, "values within each other without end", file)]) from None
     return reader.checker.done(places)
 
 
--- a/curlewhall/members/form.py
+++ b/curlewhall/members/form.py
@@ -12,7 +12,7 @@
 import struct
 from typing import NamedTuple
 
-from curlewhall.errors import Mishap
+from curlewhall.errors import CurlewhallError
 
 MAGIC, VERSION = 0xC7, 1
 HEAD = struct.Struct(">BBHIIIIHHB")
@@ -47,7 +47,7 @@
     rows: tuple[Row, ...]
 
 
-class DatagramRefused(Mishap):
+class DatagramError(CurlewhallError):
     """Not a message of ours."""
 
     remedy = (
@@ -96,21 +96,21 @@
 
 
 def decode(data: bytes, keys: list[bytes]) -> Message:
-    """The message, signed with one of `keys`; else `DatagramRefused`."""
+    """The message, signed with one of `keys`; else `DatagramError`."""
     if not HEAD.size + HASH <= len(data) <= LARGEST or data[0] != MAGIC:
-        raise DatagramRefused("not of this form")
+        raise DatagramError("not of this form")
     body, found = data[:-HASH], data[-HASH:]
     if not any(hmac.compare_digest(sign(body, key), found) for key in keys):
-        raise DatagramRefused("no key of ours signed it")
+        raise DatagramError("no key of ours signed it")
     _, word, *facts, count = HEAD.unpack_from(body)
     kind = word & 15
     if word >> 4 != VERSION or not PING <= kind <= WORD:
-        raise DatagramRefused(f"version {word >> 4}, kind {kind}")
+        raise DatagramError(f"version {word >> 4}, kind {kind}")
     if len(body) != HEAD.size + count * ROW.size:
-        raise DatagramRefused("its length is another")
+        raise DatagramError("its length is another")
     rows = tuple(Row(*ROW.unpack_from(body, HEAD.size + i * ROW.size)) for i in range(count))
     if any(row.state > LEFT for row in rows):
-        raise DatagramRefused("an unknown state")
+        raise DatagramError("an unknown state")
     sender, life, sequence, nonce, incarnation, load, target = facts
     return Message(kind, sender, life, sequence, nonce, incarnation, load, target, rows)
 
--- a/curlewhall/members/run.py
+++ b/curlewhall/members/run.py
@@ -3,7 +3,7 @@
 import os
 
 from .decide import Members
-from .form import ACK, NOBODY, PING, SERIALS, WORD, DatagramRefused, Message, Row, Window, decode, encode
+from .form import ACK, NOBODY, PING, SERIALS, WORD, DatagramError, Message, Row, Window, decode, encode
 
 SECOND = 10_000
 CHALLENGES = SECOND  # between two challenges of one unknown life
@@ -43,7 +43,7 @@
         """Whether the datagram was one of membership's."""
         try:
             message = decode(data, self.keys)
-        except DatagramRefused:
+        except DatagramError:
             self.refused += 1
             return False
         sender, now = message.sender, self.clock.now()
--- a/curlewhall/records/__init__.py
+++ b/curlewhall/records/__init__.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from curlewhall.errors import Mishap
+from curlewhall.errors import CurlewhallError
 
 Record = dict[str, Any]
 _encode = msgspec.json.Encoder().encode
@@ -65,7 +65,7 @@
         self.next()
 
 
-class RecordTorn(Mishap):
+class TruncatedRecordError(CurlewhallError):
     """A line that is no record."""
 
     remedy = "Play the day again: a record file was cut or changed by another program."
@@ -73,18 +73,18 @@
 
 def read(path: str | Path) -> Iterator[Record]:
     """Records of a file in the order written. An unfinished last line is left out; others raise
-    `RecordTorn`.
+    `TruncatedRecordError`.
     """
     with open(path, "rb") as file:
         for number, line in enumerate(file, 1):
             try:
                 row = msgspec.json.decode(line)
                 if not (isinstance(row, dict) and {"t", "at", "what"} <= row.keys()):
-                    raise RecordTorn(f"{path}, line {number}: not a record")
+                    raise TruncatedRecordError(f"{path}, line {number}: not a record")
             except msgspec.DecodeError as err:
                 if not line.endswith(b"\n"):
                     return
-                raise RecordTorn(f"{path}, line {number}: {err}") from None
+                raise TruncatedRecordError(f"{path}, line {number}: {err}") from None
             yield row
 
 
--- a/curlewhall/recovery/form.py
+++ b/curlewhall/recovery/form.py
@@ -6,7 +6,7 @@
 import msgspec
 import zstandard
 
-from curlewhall.errors import Mishap
+from curlewhall.errors import CurlewhallError
 
 from .state import Entry
 
@@ -22,13 +22,13 @@
 _decode_all = msgspec.msgpack.Decoder(list[Entry]).decode
 
 
-class Newer(Mishap):
+class NewerFormatError(CurlewhallError):
     """Written by a later version of the program: nothing here may touch it."""
 
     remedy = "Start the version that wrote the state folder, or give this one an empty folder."
 
 
-class Damaged(Mishap):
+class CorruptDataError(CurlewhallError):
     """Not what was written."""
 
     remedy = "Nothing at once: what is sound before it is gone by; look at the disk if it repeats."
@@ -39,16 +39,16 @@
 
 
 def check_head(data: bytes, kind: int) -> None:
-    """`Newer` for a later version, `Damaged` for anything else that is not a head of that kind."""
+    """`NewerFormatError` for a later version, `CorruptDataError` for anything else that is not a head of that kind."""
     if len(data) < HEAD.size:
-        raise Damaged("no head")
+        raise CorruptDataError("no head")
     magic, version, found, _ = HEAD.unpack_from(data)
     if magic != MAGIC:
-        raise Damaged("not a file of this program")
+        raise CorruptDataError("not a file of this program")
     if version > VERSION:
-        raise Newer(f"version {version}, this program knows {VERSION}")
+        raise NewerFormatError(f"version {version}, this program knows {VERSION}")
     if found != kind:
-        raise Damaged(f"kind {found}, expected {kind}")
+        raise CorruptDataError(f"kind {found}, expected {kind}")
 
 
 def frame(entry: Entry) -> bytes:
@@ -90,14 +90,14 @@
 
 
 def read_snapshot(data: bytes) -> list[Entry]:
-    """The entries of a snapshot; `Damaged` or `Newer`."""
+    """The entries of a snapshot; `CorruptDataError` or `NewerFormatError`."""
     check_head(data, SNAPSHOT)
     if len(data) < HEAD.size + 4:
-        raise Damaged("cut short")
+        raise CorruptDataError("cut short")
     body = data[HEAD.size + 4 :]
     if struct.unpack_from("<I", data, HEAD.size)[0] != crc32c.crc32c(body):
-        raise Damaged("its checksum is another")
+        raise CorruptDataError("its checksum is another")
     try:
         return _decode_all(zstandard.ZstdDecompressor().decompress(body, max_output_size=INFLATED))
     except (zstandard.ZstdError, msgspec.DecodeError) as err:
-        raise Damaged(str(err)) from None
+        raise CorruptDataError(str(err)) from None
--- a/curlewhall/recovery/store.py
+++ b/curlewhall/recovery/store.py
@@ -14,7 +14,7 @@
 from concurrent.futures import Future, ThreadPoolExecutor
 from pathlib import Path
 
-from curlewhall.errors import Mishap, told
+from curlewhall.errors import CurlewhallError, describe
 
 from . import form
 from .state import Entry, State
@@ -23,7 +23,7 @@
 AGAIN = 1.0  # seconds until a disk that failed is tried again
 
 
-class Busy(Mishap):
+class StoreLockedError(CurlewhallError):
     """Another process holds the folder."""
 
     remedy = "Stop the process that holds the state folder, or name another state.folder."
@@ -87,7 +87,7 @@
         return self.folder / f"{kind}-{generation:08}"
 
     def open(self) -> State:
-        """Own the folder and read it: the state of the process before. `Busy`, `form.Newer`, `OSError`."""
+        """Own the folder and read it: the state of the process before. `StoreLockedError`, `form.NewerFormatError`, `OSError`."""
         self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
         self.lock = os.open(self.folder / "lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
@@ -95,7 +95,7 @@
         except OSError:
             os.close(self.lock)
             self.lock = None
-            raise Busy(f"{self.folder}: another process holds it") from None
+            raise StoreLockedError(f"{self.folder}: another process holds it") from None
         try:
             self.recover()
             self.state.set_back(self.now())
@@ -103,7 +103,7 @@
         except OSError as err:
             # Danger: a full disk must not become a crash loop. Nothing is kept until it can be.
             self.ill = True
-            self.tell("the state can't be kept", why=told(err))
+            self.tell("the state can't be kept", why=describe(err))
         except BaseException:
             self.close()
             raise
@@ -121,8 +121,8 @@
         for generation in sorted(there["snapshot"], reverse=True):
             try:
                 rows = form.read_snapshot(self.disk.read(self.name("snapshot", generation)))
-            except (form.Damaged, OSError) as err:
-                self.tell("a snapshot can't be read", generation=generation, why=told(err))
+            except (form.CorruptDataError, OSError) as err:
+                self.tell("a snapshot can't be read", generation=generation, why=describe(err))
                 continue
             base = generation
             for row in rows:
@@ -133,8 +133,8 @@
                 continue
             try:
                 rows, ended = form.entries(self.disk.read(self.name("log", generation)))
-            except (form.Damaged, OSError) as err:
-                rows, ended = [], told(err)
+            except (form.CorruptDataError, OSError) as err:
+                rows, ended = [], describe(err)
             for row in rows:
                 self.state.apply(row)
             if ended:
@@ -231,7 +231,7 @@
             # Danger: a full disk. What is not surely kept is said so; the state is written anew, whole,
             # later.
             self.failing, self.writing = True, False
-            self.log.error("the state can't be kept", why=told(err))
+            self.log.error("the state can't be kept", why=describe(err))
             thens += self.thens
             self.thens, self.rows = [], []
             self.timers.after(AGAIN, self.again)
@@ -257,7 +257,7 @@
         err, self.mending = done.exception(), False
         if err is not None:
             self.rows = []
-            self.log.warning("the state still can't be kept", why=told(err))
+            self.log.warning("the state still can't be kept", why=describe(err))
             self.timers.after(AGAIN, self.again)
             return
         self.failing = False
@@ -279,7 +279,7 @@
                 self.files.append(self.rows)
             except OSError as err:
                 sure = False
-                self.log.error("the last entries are not kept", why=told(err))
+                self.log.error("the last entries are not kept", why=describe(err))
         thens, self.rows, self.thens = self.thens, [], []
         for then in thens:
             self.loop.call_soon(then, sure)
--- a/curlewhall/relay/channel.py
+++ b/curlewhall/relay/channel.py
@@ -9,7 +9,7 @@
 import time
 from typing import Any
 
-from curlewhall.errors import Mishap
+from curlewhall.errors import CurlewhallError
 from curlewhall.front.driver import SECOND, Driver
 from curlewhall.interface import NodeRow
 from curlewhall.wire.client import Pool, Reply
@@ -24,7 +24,7 @@
 STATES = {"ready": "serving", "draining": "draining", "gone": "gone"}
 
 
-class EventUnreadable(Mishap):
+class EventError(CurlewhallError):
     """What came is not of its form."""
 
     remedy = (
@@ -187,7 +187,7 @@
             command = self.read(data)
             self.tries = 0
             self.returns.heard()
-        except EventUnreadable as err:
+        except EventError as err:
             why = err
         if number and number <= self.cursor:
             return True  # told twice
@@ -213,13 +213,13 @@
     def read(self, data: str | None) -> dict:
         """What an event holds."""
         if data is None:
-            raise EventUnreadable("an event without a number, or too long")
+            raise EventError("an event without a number, or too long")
         try:
             command = json.loads(data)
         except (ValueError, RecursionError) as err:
-            raise EventUnreadable(f"not JSON: {err}") from None
+            raise EventError(f"not JSON: {err}") from None
         if not isinstance(command, dict):
-            raise EventUnreadable("no JSON object")
+            raise EventError("no JSON object")
         return command
 
     def ended(self, pool: Pool, reply: Reply) -> None:
--- a/curlewhall/relay/serve.py
+++ b/curlewhall/relay/serve.py
@@ -7,7 +7,7 @@
 
 import uvloop
 
-from curlewhall.errors import told
+from curlewhall.errors import describe
 from curlewhall.front.collector import calm_collector
 from curlewhall.front.driver import SECOND, Driver
 from curlewhall.policy import Front
@@ -39,7 +39,7 @@
             self.viewers = Viewers(self.driver, self.loop, self.timers, given.viewers, log)
             self.nodes = Nodes(self.driver, self.loop, self.timers, given.nodes, log, given.seed)
         except (KeyError, IndexError, TypeError, ValueError, AttributeError) as err:
-            raise card.ConfigurationRefused(
+            raise card.ConfigurationError(
                 f"the settings can't be used: {type(err).__name__}: {err}"
             ) from None
         self.driver.viewers, self.driver.nodes = self.viewers, self.nodes
@@ -60,9 +60,9 @@
             self.rereading = None
         try:
             given = card.read(os.environ)
-        except card.ConfigurationRefused as err:
+        except card.ConfigurationError as err:
             if tries in (0, REREADS):
-                self.log.say(f"the old configuration is kept: {err.told}", tries=tries + 1)
+                self.log.say(f"the old configuration is kept: {err.full_message}", tries=tries + 1)
             if tries < REREADS:
                 self.rereading = self.timers.after(REREAD, self.reload, tries + 1)
             return
@@ -157,7 +157,7 @@
     try:
         given = card.read(os.environ)
         uvloop.run(until_told(given, Log()))
-    except (card.ConfigurationRefused, OSError) as err:
-        print(f"can't start: {told(err)}", file=sys.stderr)
+    except (card.ConfigurationError, OSError) as err:
+        print(f"can't start: {describe(err)}", file=sys.stderr)
         return 1
     return 0
--- a/curlewhall/relay/viewers.py
+++ b/curlewhall/relay/viewers.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from curlewhall.codecs import messages
-from curlewhall.errors import Mishap
+from curlewhall.errors import CurlewhallError
 from curlewhall.front.driver import Driver, Held
 from curlewhall.wire.transport import Transport
 from curlewhall.words import tenths
@@ -32,7 +32,7 @@
 NUMBER = re.compile(r"\d{1,9}")
 
 
-class SetUpRefused(Mishap):
+class SetUpError(CurlewhallError):
     """A set-up that can't be taken; the text says why."""
 
     remedy = "Look at the client that sent it: its set-up breaks the protocol, and it was refused."
@@ -338,8 +338,8 @@
         known = self.sessions.get(name)
         try:
             facts, figures, limit = self.read(message)
-        except SetUpRefused as err:
-            self.log.warning("a set-up that can't be taken", session=name, why=err.told)
+        except SetUpError as err:
+            self.log.warning("a set-up that can't be taken", session=name, why=err.full_message)
             if known is None or known.connection is not connection:
                 connection.transport.send(messages.message(messages.RELEASE, name, cause=bytes((WRONG,))))
             return
@@ -369,7 +369,7 @@
         self.driver.asked(held, figures.get("again") == "1", moved)
 
     def read(self, message: messages.Message) -> tuple[Facts, dict[str, str], int]:
-        """Facts, figures and patience of a set-up; `SetUpRefused` for what the module must not hear."""
+        """Facts, figures and patience of a set-up; `SetUpError` for what the module must not hear."""
         fields = message.fields
         missing = [
             code
@@ -377,27 +377,27 @@
             if code not in fields
         ]
         if missing:
-            raise SetUpRefused(f"parameters {missing} are missing")
+            raise SetUpError(f"parameters {missing} are missing")
         if not int(message.session, 16):
-            raise SetUpRefused("no session")
+            raise SetUpError("no session")
         product = self.products.get(fields[messages.PRODUCT].decode("latin-1"))
         if product is None:
-            raise SetUpRefused("an unknown product")
+            raise SetUpError("an unknown product")
         if not TITLE.fullmatch(fields[messages.TITLE]):
-            raise SetUpRefused("a title that can't be read")
+            raise SetUpError("a title that can't be read")
         text = fields[messages.FIGURES].decode("latin-1")
         pairs = [part.partition(":") for part in text.split(";") if part]
         figures = {key: value for key, _, value in pairs}
         if len(figures) != len(pairs) or not VIEWER.fullmatch(figures.get("viewer", "")):
-            raise SetUpRefused("figures that can't be read")
+            raise SetUpError("figures that can't be read")
         home, copies, top = (self.figure(figures.get(key, ""), key) for key in ("home", "copies", "top"))
         if home >= self.places or not 0 < copies <= self.places or top >= self.rungs:
-            raise SetUpRefused("figures out of range")
+            raise SetUpError("figures out of range")
         patience = 0
         if "at" not in figures:
             patience = tenths(self.figure(fields.get(messages.PATIENCE, b"").decode("latin-1"), "patience"))
             if not 0 < patience <= product[1]:
-                raise SetUpRefused("a patience out of range")
+                raise SetUpError("a patience out of range")
         facts = Facts(
             message.session,
             fields[messages.PRODUCT].decode("latin-1"),
@@ -412,7 +412,7 @@
 
     def figure(self, text: str, name: str) -> int:
         if not NUMBER.fullmatch(text):
-            raise SetUpRefused(f"{name} is no number")
+            raise SetUpError(f"{name} is no number")
         return int(text)
 
     def resume(self, connection: Connection, facts: Facts, node: str) -> None:
--- a/curlewhall/settings/__init__.py
+++ b/curlewhall/settings/__init__.py
@@ -4,6 +4,6 @@
 """
 
 from .card import rate_card
-from .load import Complaint, WrongFile, load, parse
+from .load import Complaint, SettingsError, load, parse
 
-__all__ = ["Complaint", "WrongFile", "load", "parse", "rate_card"]
+__all__ = ["Complaint", "SettingsError", "load", "parse", "rate_card"]
--- a/curlewhall/settings/load.py
+++ b/curlewhall/settings/load.py
@@ -10,7 +10,7 @@
 
 from google.protobuf import text_format
 
-from curlewhall.errors import Mishap
+from curlewhall.errors import CurlewhallError
 
 from . import front_pb2
 from .keys import read_keys
@@ -29,7 +29,7 @@
         return f"line {self.line}, column {self.column}: {field}found {self.found}, expected {self.expected}"
 
 
-class WrongFile(Mishap):
+class SettingsError(CurlewhallError):
     """A file that is refused, with everything that is wrong with it."""
 
     remedy = (
@@ -42,7 +42,7 @@
 
 
 def load(path: str | os.PathLike) -> front_pb2.FrontFile:
-    """Read and check a file; `WrongFile` with all complaints, `OSError` where it can't be read."""
+    """Read and check a file; `SettingsError` with all complaints, `OSError` where it can't be read."""
     raw = Path(path).read_bytes()
     try:
         text = raw.decode("utf-8-sig")
@@ -50,7 +50,7 @@
         line = raw.count(b"\n", 0, err.start) + 1
         column = err.start - (raw.rfind(b"\n", 0, err.start) + 1) + 1
         wrong = Complaint(line, column, "", f"byte 0x{raw[err.start]:02x}", "text in UTF-8")
-        raise WrongFile(str(path), [wrong]) from None
+        raise SettingsError(str(path), [wrong]) from None
     return parse(text, str(path))
 
 
@@ -62,14 +62,16 @@
     except text_format.ParseError as err:
         line, column, why = err.GetLine() or 1, err.GetColumn() or 1, str(err)
         why = re.sub(r"^'?\d+:\d+ : ('.*': )?", "", why, flags=re.S).strip("'.")
-        raise WrongFile(path, [Complaint(line, column, "", why, "protobuf text as in the guide")]) from None
+        raise SettingsError(
+            path, [Complaint(line, column, "", why, "protobuf text as in the guide")]
+        ) from None
     places = positions(text)
     complaints = []
     for where, seen, expected in checks(found):
         line, column = place_of(where, places)
         complaints.append(Complaint(line, column, where, seen, expected))
     if complaints:
-        raise WrongFile(path, sorted(complaints))
+        raise SettingsError(path, sorted(complaints))
     return found
 
 
--- a/curlewhall/simhost/__main__.py
+++ b/curlewhall/simhost/__main__.py
@@ -3,13 +3,13 @@
 import sys
 
 from curlewhall.policy import Front
-from curlewhall.simhost.host import Host, WireUnreadable
+from curlewhall.simhost.host import Host, SimulatorMessageError
 
 
 def main() -> int:
     try:
         Host(Front, sys.stdout).run(sys.stdin)
-    except WireUnreadable as err:
+    except SimulatorMessageError as err:
         print(f"simhost: {err}", file=sys.stderr)
         return 1
     except KeyboardInterrupt:
--- a/curlewhall/simhost/host.py
+++ b/curlewhall/simhost/host.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any, TextIO
 
-from curlewhall.errors import Mishap
+from curlewhall.errors import CurlewhallError
 from curlewhall.interface import NodeRow
 from curlewhall.words import NOTES, card_of, report_of, tenths
 
@@ -27,7 +27,7 @@
 LISTINGS = {"patch": "changes", "whole": "whole", "stale_copy": "old_copy", "broken": "failed"}
 
 
-class WireUnreadable(Mishap):
+class SimulatorMessageError(CurlewhallError):
     """The input breaks the wire's form."""
 
     remedy = (
@@ -56,7 +56,7 @@
     for part in rest.split():
         name, equals, value = part.partition("=")
         if not equals or not name:
-            raise WireUnreadable(f"{part!r} is not name=value")
+            raise SimulatorMessageError(f"{part!r} is not name=value")
         pairs[name] = value
     return tag, pairs
 
@@ -117,10 +117,10 @@
                 tag, pairs = fields_of(line)
                 if tag == "sync":
                     if serial is not None:
-                        raise WireUnreadable("sync inside a batch")
+                        raise SimulatorMessageError("sync inside a batch")
                     self.now, serial, self.reply = tenths(pairs["moment-ms"]), pairs["serial"], []
                 elif serial is None:
-                    raise WireUnreadable(f"{tag!r} outside a batch")
+                    raise SimulatorMessageError(f"{tag!r} outside a batch")
                 elif tag == "go":
                     self.reply.append(f"done serial={serial}\n")
                     self.out.write("\n".join(self.reply))
@@ -131,15 +131,15 @@
                 else:
                     self.event(tag, pairs)
             except KeyError as err:
-                raise WireUnreadable(
+                raise SimulatorMessageError(
                     f"line {number}: field {err.args[0]!r} is missing: {line[:200]}"
                 ) from None
             except (ValueError, binascii.Error) as err:
-                raise WireUnreadable(f"line {number}: {err}: {line[:200]}") from None
-            except WireUnreadable as err:
-                raise WireUnreadable(f"line {number}: {err}: {line[:200]}") from None
+                raise SimulatorMessageError(f"line {number}: {err}: {line[:200]}") from None
+            except SimulatorMessageError as err:
+                raise SimulatorMessageError(f"line {number}: {err}: {line[:200]}") from None
         if serial is not None:
-            raise WireUnreadable("the input ends inside a batch")
+            raise SimulatorMessageError("the input ends inside a batch")
 
     def rows(self, source: Iterable[tuple[int, str]], count: int) -> list[NodeRow]:
         rows = []
@@ -147,7 +147,7 @@
             number, line = next(source, (0, ""))
             tag, pairs = fields_of(line.rstrip("\r\n"))
             if tag != "row":
-                raise WireUnreadable(
+                raise SimulatorMessageError(
                     f"{count} rows announced, row {len(rows) + 1} (line {number}) is {tag!r}"
                 )
             row = row_of(pairs)
@@ -167,7 +167,7 @@
             return
         front = self.fronts.get(at)
         if front is None:
-            raise WireUnreadable(f"{tag!r} for instance {at}, which is not running")
+            raise SimulatorMessageError(f"{tag!r} for instance {at}, which is not running")
         self.tell(at, front, tag, pairs, now)
 
     def tell(self, at: str, front: Any, tag: str, pairs: dict[str, str], now: int) -> None:
--- a/curlewhall/standins/crowd.py
+++ b/curlewhall/standins/crowd.py
@@ -178,7 +178,7 @@
             if status == 200:
                 try:
                     plan = manifest.read(reply.message.body)
-                except manifest.BadManifest as err:
+                except manifest.ManifestError as err:
                     self.records.write("viewer", "bad_manifest", ask=ask, why=str(err))
             else:
                 with contextlib.suppress(msgspec.DecodeError, AttributeError):
--- a/curlewhall/standins/links.py
+++ b/curlewhall/standins/links.py
@@ -345,7 +345,7 @@
             return
         head, found, body = data.partition(b"\r\n\r\n")
         if found and head.startswith(b"POST /v1/plays "):
-            with contextlib.suppress(forms.FormUnreadable):
+            with contextlib.suppress(forms.DecodeError):
                 asked = forms.decode(forms.SetUp, body)
                 facts = asked.facts
                 self.out = facts.play, facts.number
--- a/curlewhall/standins/node.py
+++ b/curlewhall/standins/node.py
@@ -144,7 +144,7 @@
         now = self.loop.time()
         try:
             asked = forms.decode(forms.SetUp, exchange.request.body)
-        except forms.FormUnreadable as err:
+        except forms.DecodeError as err:
             exchange.reply(400, {}, str(err).encode())
             return
         facts = asked.facts
@@ -223,7 +223,7 @@
         play = self.plays.get(name)
         try:
             asked = forms.decode(forms.Rung, exchange.request.body)
-        except forms.FormUnreadable as err:
+        except forms.DecodeError as err:
             exchange.reply(400, {}, str(err).encode())
             return
         if play is None or play.facts.number != asked.number or not 0 <= asked.rung <= play.facts.top:
@@ -248,7 +248,7 @@
         play = self.plays.get(name)
         try:
             asked = forms.decode(forms.Given, exchange.request.body)
-        except forms.FormUnreadable as err:
+        except forms.DecodeError as err:
             exchange.reply(400, {}, str(err).encode())
             return
         if play is None or not play.playing or play.facts.number != asked.number:
@@ -266,7 +266,7 @@
         """GET s/PLAY/NUMBER/seg/rR/N or POST s/PLAY/NUMBER/end, with the session's token."""
         try:
             session = tokens.check(token, self.key, self.name)
-        except tokens.BadToken as err:
+        except tokens.TokenError as err:
             self.records.write(self.at, "token", play=parts[0], why=str(err))
             exchange.reply(403, {}, b"the token is not taken\n")
             return
--- a/curlewhall/wire/client.py
+++ b/curlewhall/wire/client.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from .http import Limits, Message, MessageRefused, Responses
+from .http import HttpMessageError, Limits, Message, Responses
 from .timers import Timers
 from .transport import pending
 
@@ -148,7 +148,7 @@
                 self.give(line)
                 line = None
             ask.settle(Reply("ok", message, time.monotonic() - ask.asked_at))
-        except MessageRefused as err:
+        except HttpMessageError as err:
             ask.settle(Reply("error", None, time.monotonic() - ask.asked_at, err.why))
         except (OSError, EOFError) as err:
             # Danger: out of descriptors not even a socket is to be had; a paid play would be failed for that.
--- a/curlewhall/wire/forms.py
+++ b/curlewhall/wire/forms.py
@@ -7,12 +7,12 @@
 
 import msgspec
 
-from curlewhall.errors import Mishap
+from curlewhall.errors import CurlewhallError
 
 LINE = 4 << 20  # bytes of one line of a stream at most: a hello that names 10,000 plays is half of that
 
 
-class FormUnreadable(Mishap):
+class DecodeError(CurlewhallError):
     """What came is not of its form."""
 
     remedy = "See that both sides run versions that know each other; what was unreadable is left out."
@@ -175,18 +175,18 @@
 
 
 def decode(form: type, data: bytes):
-    """`data` as a `form`, or `FormUnreadable` with what is wrong."""
+    """`data` as a `form`, or `DecodeError` with what is wrong."""
     decoder = _decoders.get(form)
     if decoder is None:
         decoder = _decoders[form] = msgspec.json.Decoder(form)
     try:
         return decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as err:
-        raise FormUnreadable(str(err)) from None
+        raise DecodeError(str(err)) from None
 
 
 class Lines:
-    """Cuts a stream into its lines; `FormUnreadable` for one without end."""
+    """Cuts a stream into its lines; `DecodeError` for one without end."""
 
     def __init__(self) -> None:
         self.rest = b""
@@ -194,5 +194,5 @@
     def feed(self, data: bytes) -> list[bytes]:
         *lines, self.rest = (self.rest + data).split(b"\n")
         if len(self.rest) > LINE:
-            raise FormUnreadable("a line without end")
+            raise DecodeError("a line without end")
         return [line for line in lines if line]
--- a/curlewhall/wire/http.py
+++ b/curlewhall/wire/http.py
@@ -10,7 +10,7 @@
 
 import httptools
 
-from curlewhall.errors import Mishap
+from curlewhall.errors import CurlewhallError
 
 REASONS = {status.value: status.phrase for status in HTTPStatus}
 
@@ -29,7 +29,7 @@
     write: float = 10.0  # for one piece of an answer
 
 
-class MessageRefused(Mishap):
+class HttpMessageError(CurlewhallError):
     """A message that is not taken; `status` is the answer to it (RFC 9110 section 15.5)."""
 
     remedy = (
@@ -55,7 +55,7 @@
 class Reader:
     """Collects messages from fed bytes; complete ones wait in `messages`.
 
-    Raises `MessageRefused` from `feed` for what breaks the form or a limit. The reader is of no use after
+    Raises `HttpMessageError` from `feed` for what breaks the form or a limit. The reader is of no use after
     that.
     """
 
@@ -68,23 +68,23 @@
         raise NotImplementedError
 
     def feed(self, data) -> None:
-        """Take bytes; `MessageRefused` when they can't be the continuation of a sound message."""
+        """Take bytes; `HttpMessageError` when they can't be the continuation of a sound message."""
         before, whole = self.current, len(self.messages)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            raise MessageRefused(501, "no other protocol is spoken here") from None
+            raise HttpMessageError(501, "no other protocol is spoken here") from None
         except httptools.HttpParserCallbackError as err:
             cause = err.__context__
-            raise cause if isinstance(cause, MessageRefused) else MessageRefused(400, f"{err}") from None
+            raise cause if isinstance(cause, HttpMessageError) else HttpMessageError(400, f"{err}") from None
         except httptools.HttpParserError as err:
-            raise MessageRefused(400, str(err) or "malformed") from None
+            raise HttpMessageError(400, str(err) or "malformed") from None
         if self.current is not None and self.names is not None:
             # Danger: a head without end. What came since its first byte counts, however it is cut up.
             if before is self.current or whole == len(self.messages):
                 self.seen = max(self.seen, len(data)) if before is not self.current else self.seen + len(data)
             if self.seen > self.limits.head:
-                raise MessageRefused(431, "the head is too long")
+                raise HttpMessageError(431, "the head is too long")
 
     # ---- called by the parser
 
@@ -96,11 +96,11 @@
         key = name.decode("latin-1").lower()
         self.fields += len(name) + len(value) + 4
         if self.fields > self.limits.head:
-            raise MessageRefused(431, "the head is too long")
+            raise HttpMessageError(431, "the head is too long")
         if b"\r" in value or b"\0" in value or b"\n" in value:
-            raise MessageRefused(400, "a bare CR, LF or NUL in a field")
+            raise HttpMessageError(400, "a bare CR, LF or NUL in a field")
         if key in self.names and key in ("content-length", "transfer-encoding", "host"):
-            raise MessageRefused(400, f"{key} twice")
+            raise HttpMessageError(400, f"{key} twice")
         self.names.add(key)
         old = self.current.headers.get(key)
         text = value.decode("latin-1").strip()
@@ -109,14 +109,14 @@
     def on_headers_complete(self) -> None:
         heads = self.current.headers
         if "content-length" in heads and "transfer-encoding" in heads:
-            raise MessageRefused(400, "both a length and chunks")
+            raise HttpMessageError(400, "both a length and chunks")
         if heads.get("transfer-encoding", "chunked").lower() != "chunked":
-            raise MessageRefused(501, "no transfer coding but chunked")
+            raise HttpMessageError(501, "no transfer coding but chunked")
         length = heads.get("content-length", "0")
         if not (length.isascii() and length.isdigit()):
-            raise MessageRefused(400, "a length that is no number")
+            raise HttpMessageError(400, "a length that is no number")
         if int(length) > self.limits.body:
-            raise MessageRefused(413, "the body is too long")
+            raise HttpMessageError(413, "the body is too long")
         self.names = None
         self.headed()
 
@@ -126,7 +126,7 @@
     def on_body(self, data: bytes) -> None:
         self.pieces.append(data)
         if sum(map(len, self.pieces)) > self.limits.body:
-            raise MessageRefused(413, "the body is too long")
+            raise HttpMessageError(413, "the body is too long")
 
     def on_message_complete(self) -> None:
         message, self.current = self.current, None
@@ -145,21 +145,21 @@
     def on_url(self, url: bytes) -> None:
         self.current.target += url.decode("latin-1")
         if len(self.current.target) > self.limits.line:
-            raise MessageRefused(414, "the target is too long")
+            raise HttpMessageError(414, "the target is too long")
 
     def headed(self) -> None:
         self.current.method = self.parser.get_method().decode("latin-1")
         version = self.parser.get_http_version()
         if version not in ("1.0", "1.1"):
-            raise MessageRefused(505, "HTTP/1.0 and HTTP/1.1 only")
+            raise HttpMessageError(505, "HTTP/1.0 and HTTP/1.1 only")
         if version == "1.1" and "host" not in self.current.headers:
-            raise MessageRefused(400, "no host")  # RFC 9112 section 3.2
+            raise HttpMessageError(400, "no host")  # RFC 9112 section 3.2
 
     def feed(self, data) -> None:
         super().feed(data)
         # Danger: a request target without end never reaches a header.
         if self.current is not None and len(self.current.target) > self.limits.line:
-            raise MessageRefused(414, "the target is too long")
+            raise HttpMessageError(414, "the target is too long")
 
 
 class Responses(Reader):
--- a/curlewhall/wire/server.py
+++ b/curlewhall/wire/server.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from itertools import chain
 
-from .http import Limits, Message, MessageRefused, Requests, chunk, response_head
+from .http import HttpMessageError, Limits, Message, Requests, chunk, response_head
 from .timers import Timers
 from .transport import ended_by_peer, pending
 
@@ -135,7 +135,7 @@
         if why == "idle" and self.exchanges:  # an answer is owed: nothing is idle
             self.watch(self.server.limits.idle, "idle")
         elif why == "read":
-            self.refuse(MessageRefused(408, "the request did not end in time"))
+            self.refuse(HttpMessageError(408, "the request did not end in time"))
         else:
             self.close()
 
@@ -192,7 +192,7 @@
                             await self.room.wait()
                     if ended_by_peer(self.sock):
                         self.close()
-        except MessageRefused as err:
+        except HttpMessageError as err:
             self.refuse(err)
             return
         except (OSError, asyncio.CancelledError):
@@ -207,7 +207,7 @@
         self.exchanges.append(exchange)
         self.server.handle(exchange)
 
-    def refuse(self, err: MessageRefused) -> None:
+    def refuse(self, err: HttpMessageError) -> None:
         """Answer what can't be taken, after all that is still owed, and close."""
         if not self.closed and not self.last:
             self.last = True
--- a/tests/inventory/test_forms.py
+++ b/tests/inventory/test_forms.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from curlewhall.inventory import Inventory, InventoryRefused, csvform, yamlform
+from curlewhall.inventory import Inventory, InventoryError, csvform, yamlform
 from curlewhall.inventory.decide import FEW, applied, compare, implausible
 from curlewhall.inventory.form import MOST, text_of
 from curlewhall.wire.forms import Row, Title
@@ -30,7 +30,7 @@
 
 
 def wrong(read, *facts):
-    with pytest.raises(InventoryRefused) as found:
+    with pytest.raises(InventoryError) as found:
         read(*facts)
     return [(c.line, c.text) for c in found.value.complaints]
 
@@ -175,7 +175,7 @@
         for given_text in (text, HEAD + text, YAML + text):
             try:
                 assert isinstance(read(given_text), Inventory)
-            except InventoryRefused as err:
+            except InventoryError as err:
                 assert all(c.line >= 1 for c in err.complaints)
 
 
--- a/tests/members/test_members.py
+++ b/tests/members/test_members.py
@@ -24,7 +24,7 @@
     PING,
     SUSPECT,
     SYNC,
-    DatagramRefused,
+    DatagramError,
     Message,
     Row,
     Window,
@@ -62,7 +62,7 @@
 def test_a_message_is_the_same_through_its_bytes(message):
     data = encode(message, KEY)
     assert len(data) <= LARGEST and decode(data, [OTHER, KEY]) == message
-    with pytest.raises(DatagramRefused):
+    with pytest.raises(DatagramError):
         decode(data, [OTHER])
 
 
@@ -77,7 +77,7 @@
 @given(st.binary(max_size=300))
 def test_any_bytes_are_a_message_or_refused(data):
     for given_bytes in (data, data + sign(data, KEY), b"\xc7" + data + sign(b"\xc7" + data, KEY)):
-        with contextlib.suppress(DatagramRefused):
+        with contextlib.suppress(DatagramError):
             assert isinstance(decode(given_bytes, [KEY]), Message)
 
 
@@ -86,7 +86,7 @@
     for at in range(8 * len(data)):
         spoilt = bytearray(data)
         spoilt[at // 8] ^= 1 << at % 8
-        with pytest.raises(DatagramRefused):
+        with pytest.raises(DatagramError):
             decode(bytes(spoilt), [KEY])
 
 
--- a/tests/recovery/test_kept.py
+++ b/tests/recovery/test_kept.py
@@ -10,7 +10,7 @@
 
 from curlewhall.drills.baselines import TwoDrawn
 from curlewhall.recovery.state import Playing
-from curlewhall.recovery.store import Busy, Disk
+from curlewhall.recovery.store import Disk, StoreLockedError
 
 
 def full(*facts):
@@ -106,5 +106,5 @@
 @looped
 async def test_two_fronts_do_not_share_a_folder(tmp_path):
     async with town(tmp_path, TwoDrawn, durability="lagging") as place:
-        with pytest.raises(Busy):
+        with pytest.raises(StoreLockedError):
             await place.front(TwoDrawn)
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -20,7 +20,7 @@
 from curlewhall.recovery.decide import LONGEST_DOUBT, Doubts, Window, ran_for
 from curlewhall.recovery.run import Keeper
 from curlewhall.recovery.state import Further, Out, Over, Playing, State, Took
-from curlewhall.recovery.store import Busy, Disk, Files, Store
+from curlewhall.recovery.store import Disk, Files, Store, StoreLockedError
 from curlewhall.wire.timers import Timers
 
 NAMES = st.sampled_from([f"p{i}" for i in range(6)])
@@ -84,7 +84,7 @@
 def test_no_bytes_do_more_than_end_the_reading(data):
     for reader, kind in ((form.entries, form.LOG), (form.read_snapshot, form.SNAPSHOT)):
         for text in (data, form.head(kind) + data):
-            with contextlib.suppress(form.Damaged, form.Newer):
+            with contextlib.suppress(form.CorruptDataError, form.NewerFormatError):
                 reader(text)
 
 
@@ -95,7 +95,7 @@
     assert same(added(form.read_snapshot(form.snapshot(state.rows()))), state)
 
 
-class Crash(Exception):
+class SimulatedCrashError(Exception):
     """The process is gone in the middle of a write."""
 
 
@@ -103,7 +103,7 @@
     """A disk in memory. `fuse`: after so many writes it fails, with a part of the last one done."""
 
     def __init__(self):
-        self.files, self.fuse, self.error, self.rng = {}, None, Crash, random.Random(1)
+        self.files, self.fuse, self.error, self.rng = {}, None, SimulatedCrashError, random.Random(1)
 
     def burn(self):
         if self.fuse is not None:
@@ -161,7 +161,7 @@
         self.disk.fuse = fuse
         try:
             self.files.append(rows)
-        except Crash:
+        except SimulatedCrashError:
             self.again(rows)
         else:
             self.disk.fuse = None
@@ -174,7 +174,7 @@
         self.disk.fuse = fuse
         try:
             self.files.begin(self.files.generation + 1)
-        except Crash:
+        except SimulatedCrashError:
             self.again([])
         self.disk.fuse = None
 
@@ -182,7 +182,7 @@
     def crash_while_recovering(self, fuse):
         self.files.close()
         self.disk.fuse = fuse
-        with contextlib.suppress(Crash):
+        with contextlib.suppress(SimulatedCrashError):
             opened(self.folder, self.disk).close()
         self.again([])
 
@@ -222,13 +222,13 @@
 
 def test_a_folder_has_one_owner_and_files_of_a_later_version_are_left_alone(tmp_path):
     files = opened(tmp_path)
-    with pytest.raises(Busy):
+    with pytest.raises(StoreLockedError):
         opened(tmp_path)
     files.close()
     path = tmp_path / "log-00000009"
     later = b"CWLH\x09\x01\x00\x00whatever"
     path.write_bytes(later)
-    with pytest.raises(form.Newer, match="version 9"):
+    with pytest.raises(form.NewerFormatError, match="version 9"):
         opened(tmp_path)
     assert path.read_bytes() == later
 
--- a/tests/rules/test_judge.py
+++ b/tests/rules/test_judge.py
@@ -334,5 +334,5 @@
 def test_what_is_no_record_is_told_with_its_line(tmp_path, line):
     path = tmp_path / "r"
     path.write_bytes(b'{"t":1,"at":"a","what":"b"}\n' + line + b'{"t":1,"at":"a","what":"b"}\n')
-    with pytest.raises(records.RecordTorn, match="line 2"):
+    with pytest.raises(records.TruncatedRecordError, match="line 2"):
         list(records.read(path))
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from curlewhall.settings import WrongFile, load, parse, rate_card
+from curlewhall.settings import SettingsError, load, parse, rate_card
 
 
 @pytest.fixture
@@ -143,7 +143,7 @@
 )
 def test_a_wrong_file_is_refused_with_its_place(sound, old, new, line, column, field, words):
     assert old in sound
-    with pytest.raises(WrongFile) as caught:
+    with pytest.raises(SettingsError) as caught:
         parse(sound.replace(old, new, 1), "f")
     complaint = caught.value.complaints[0]
     assert (complaint.line, complaint.where) == (line, field) and words in str(complaint)
@@ -151,7 +151,7 @@
 
 
 def test_all_complaints_are_told_at_once(sound):
-    with pytest.raises(WrongFile) as caught:
+    with pytest.raises(SettingsError) as caught:
         parse(sound.replace("8080", "0").replace("floor: 1", "floor: 9").replace("0.4", "4"))
     assert [c.line for c in caught.value.complaints] == [2, 7, 14]
 
@@ -171,14 +171,14 @@
     else:
         key.chmod(mode)
         key.write_bytes(b"k" * size)
-    with pytest.raises(WrongFile, match=words):
+    with pytest.raises(SettingsError, match=words):
         parse(sound)
 
 
 def test_bytes_that_are_no_text_are_refused_with_their_place(tmp_path):
     path = tmp_path / "f"
     path.write_bytes(b'identity {\n name: "\xff" }')
-    with pytest.raises(WrongFile, match="line 2, column 9: found byte 0xff, expected text in UTF-8"):
+    with pytest.raises(SettingsError, match="line 2, column 9: found byte 0xff, expected text in UTF-8"):
         load(path)
 
 
--- a/tests/test_dash.py
+++ b/tests/test_dash.py
@@ -3,7 +3,7 @@
 import pytest
 
 from curlewhall.dash import cmsd, manifest
-from curlewhall.dash.manifest import BadManifest, Plan
+from curlewhall.dash.manifest import ManifestError, Plan
 
 PLAN = Plan("http://127.0.0.1:1/s/p/0/", "a.b-c_d", [(1, 1000), (2, 3000)], 2.0, 30.0, 5)
 
@@ -36,7 +36,7 @@
     ],
 )
 def test_what_no_player_could_play_is_told(text):
-    with pytest.raises(BadManifest):
+    with pytest.raises(ManifestError):
         manifest.read(text)
 
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -35,16 +35,16 @@
 
 
 def test_all_have_one_base_a_name_of_their_own_and_a_remedy(found):
-    ours = [kind for kind in found if kind is not errors.Mishap]
+    ours = [kind for kind in found if kind is not errors.CurlewhallError]
     assert len(ours) >= 19
-    assert all(issubclass(kind, errors.Mishap) for kind in ours), ours
+    assert all(issubclass(kind, errors.CurlewhallError) for kind in ours), ours
     names = [kind.__name__ for kind in ours]
     assert len(set(names)) == len(names), sorted(names)
     assert not {"Wrong", "Malformed", "Bad", "Refused", "Taken"} & set(names)
     remedies = [kind.remedy for kind in ours]
     assert len(set(remedies)) == len(remedies)
     for kind in ours:
-        assert kind.remedy != errors.Mishap.remedy and kind.remedy.endswith("."), kind
+        assert kind.remedy != errors.CurlewhallError.remedy and kind.remedy.endswith("."), kind
         assert 30 < len(kind.remedy) <= 160, kind
 
 
@@ -52,19 +52,23 @@
     """No class in the source derives from a bare exception but the base."""
     for path in ROOT.rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
-            if isinstance(node, ast.ClassDef) and node.name != "Mishap":
+            if isinstance(node, ast.ClassDef) and node.name != "CurlewhallError":
                 bases = {base.id for base in node.bases if isinstance(base, ast.Name)}
                 assert not bases & {"Exception", "OSError", "RuntimeError"}, f"{path.name}: {node.name}"
 
 
 @pytest.mark.parametrize(("what", "lines"), [("one thing", 1), ("a\nb", 3)])
 def test_what_is_told_has_both(what, lines):
-    class Some(errors.Mishap):
+    class Some(errors.CurlewhallError):
         remedy = "Do that."
 
     err = Some(what)
-    assert err.told.startswith(what) and err.told.endswith("Do that.") and err.told.count("\n") == lines - 1
-    assert errors.told(err) == err.told and errors.told(OSError("x")) == "x"
+    assert (
+        err.full_message.startswith(what)
+        and err.full_message.endswith("Do that.")
+        and err.full_message.count("\n") == lines - 1
+    )
+    assert errors.describe(err) == err.full_message and errors.describe(OSError("x")) == "x"
 
 
 @pytest.mark.parametrize("status", problems.KINDS)
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -7,7 +7,7 @@
 from conftest import card
 
 from curlewhall.policy import Front
-from curlewhall.simhost.host import Host, WireUnreadable, millis
+from curlewhall.simhost.host import Host, SimulatorMessageError, millis
 from curlewhall.words import tenths
 
 CONFIG = json.dumps(
@@ -194,7 +194,7 @@
     )
     assert wire.host.fronts["3"].nodes["n1"].row.state == "gone"
     assert wire.say(22_000, "power_off i=3") == [] and not wire.host.fronts
-    with pytest.raises(WireUnreadable, match="instance 3, which is not running"):
+    with pytest.raises(SimulatorMessageError, match="instance 3, which is not running"):
         wire.say(23_000, SUBMIT.format("c", "dear", 25_000))
 
 
@@ -245,7 +245,7 @@
     ],
 )
 def test_what_breaks_the_form_is_told_with_its_line(lines, words):
-    with pytest.raises(WireUnreadable, match=words):
+    with pytest.raises(SimulatorMessageError, match=words):
         Host(lambda *facts: None, io.StringIO()).run(lines)
 
 
--- a/tests/wire/test_http.py
+++ b/tests/wire/test_http.py
@@ -46,7 +46,7 @@
 )
 @pytest.mark.parametrize("step", [None, 1, 7])
 def test_what_could_be_read_in_two_ways_or_is_too_long_is_refused(status, raw, step):
-    with pytest.raises(http.MessageRefused) as caught:
+    with pytest.raises(http.HttpMessageError) as caught:
         fed(raw, step)
     assert caught.value.status == status
 
