--- a/bench/moves.py
+++ b/bench/moves.py
@@ -18,7 +18,7 @@
 from curlewhall.moves.decide import Room  # noqa: E402
 
 S = 10_000
-CARD = {
+START_SETTINGS = {
     "specifics.places": 40,
     "specifics.uplink_kb": 1e9,
     "specifics.kind_streams": [99_999],
@@ -88,7 +88,7 @@
 def drain(count: int, nodes: int) -> tuple[float, int, int]:
     """Microseconds an event of a whole drain: (cost, events, moved)."""
     rng, now, events = random.Random(2), 100 * S, 0
-    mover = Mover(now, CARD, 600 * S)
+    mover = Mover(now, START_SETTINGS, 600 * S)
     rows = {f"n{i}": Room(i, i % 34, "serving", 1e8, 0) for i in range(nodes)}
     mover.listed(now, dict(rows))
     began = time.perf_counter()
--- a/bench/rig.py
+++ b/bench/rig.py
@@ -89,7 +89,7 @@
     def request(i: int):
         pool = pools[i % len(pools)]
         if straight:
-            facts = forms.Facts(f"p{os.getpid()}-{i}", 0, "plain", "", "v", titles[0], 3, 1)
+            facts = forms.PlayInfo(f"p{os.getpid()}-{i}", 0, "plain", "", "v", titles[0], 3, 1)
             return pool, request_bytes(
                 "POST", "/v1/plays", pool.host, forms.encode(forms.SetUp("nobody", facts, 3000.0))
             )
--- a/bench/sites_sim.py
+++ b/bench/sites_sim.py
@@ -21,12 +21,12 @@
 from types import SimpleNamespace
 
 from curlewhall.drills.fleet import make_plan, settings
-from curlewhall.front.driver import Clock, Driver, Held
+from curlewhall.front.driver import ActivePlay, Clock, Driver
 from curlewhall.front.listing import Follower
 from curlewhall.policy import Front
-from curlewhall.relay.absent import NoMoves
-from curlewhall.settings import parse, rate_card
-from curlewhall.sites.absent import NoSites
+from curlewhall.relay.null_objects import NoMoves
+from curlewhall.settings import parse, start_settings
+from curlewhall.sites.null_objects import NoSites
 from curlewhall.sites.run import Watch, number
 from curlewhall.standins.model import Machine, Rack, unit
 from curlewhall.wire import forms
@@ -72,9 +72,14 @@
         (folder := Path(tempfile.mkdtemp())).joinpath("key").write_bytes(b"k" * 32)
         folder.joinpath("key").chmod(0o600)
         plan["key_file"] = str(folder / "key")
-        card = rate_card(parse(settings(plan, 0)))
+        front_settings = start_settings(parse(settings(plan, 0)))
         self.fronts = [
-            Place(self, i, card | {"fronts": fronts, "own_index": i, "zone": ZONES[i % len(ZONES)]}, seed)
+            Place(
+                self,
+                i,
+                front_settings | {"fronts": fronts, "own_index": i, "zone": ZONES[i % len(ZONES)]},
+                seed,
+            )
             for i in range(fronts)
         ]
         lean = [self.rng.uniform(0.5, 1.5) for _ in range(fronts)]
@@ -153,7 +158,7 @@
         if self.variant == "knows":
             for front in self.fronts:
                 for node in gone:
-                    front.driver.sites.heard(node.name, "refused")
+                    front.driver.sites.node_contact(node.name, "refused")
                 for peer in [p for p in range(len(self.fronts)) if p != front.index][:2]:
                     front.driver.sites.told(
                         peer, (SimpleNamespace(index=number(zone), state=1, incarnation=0),)
@@ -219,9 +224,9 @@
         self.started_ms = int(time.time() * 1000) + int(1000 * self.world.at)
 
     def weigh(self, play, rate):
-        front, held, who, was = self.plays[play]
+        front, active_play, who, was = self.plays[play]
         self.machine.asked += rate - was
-        self.plays[play] = front, held, who, rate
+        self.plays[play] = front, active_play, who, rate
 
     def end(self, play):
         self.machine.asked = max(0.0, self.machine.asked - self.plays.pop(play)[3])
@@ -231,7 +236,7 @@
         if not self.up:
             return
         for front in self.world.fronts:
-            front.driver.sites.heard(self.name, "spoke")
+            front.driver.sites.node_contact(self.name, "spoke")
         share = self.machine.share(self.world.now)
         if share < 0.98:
             self.tell("delivered", share)
@@ -247,7 +252,7 @@
         for play, (front, _, _, _) in list(self.plays.items()):
             if front not in told:
                 told.add(front)
-                self.world.after(0.7, front.driver.noted, play, self.name, kind, value)
+                self.world.after(0.7, front.driver.play_noted, play, self.name, kind, value)
 
     def report(self):
         full = self.machine.full(self.world.now)
@@ -255,13 +260,21 @@
 
 
 class Ask:
-    def __init__(self, front, held, number, node):
-        self.front, self.held, self.number, self.node, self.over = front, held, number, node, False
+    def __init__(self, front, active_play, number, node):
+        self.front, self.active_play, self.number, self.node, self.over = (
+            front,
+            active_play,
+            number,
+            node,
+            False,
+        )
 
     def settle(self, how, took, report=None):
         if not self.over:
             self.over = True
-            self.front.driver.set_up_ended(self.held, self.number, self.node.name, how, took, report or {})
+            self.front.driver.allocation_ended(
+                self.active_play, self.number, self.node.name, how, took, report or {}
+            )
 
     def withdraw(self):
         self.settle("withdrawn", 0.0)
@@ -270,16 +283,16 @@
 class Place(NoMoves):
     """One front: driver, module, follower and watch as they are, with models of their sides around them."""
 
-    def __init__(self, world, index, card, seed):
+    def __init__(self, world, index, front_settings, seed):
         self.world, self.index, self.log, self.timers = world, index, Quiet(), world
         clock = Clock(lambda: world.now)
         self.loop = self
-        self.driver = Driver(Front, seed * 1000 + index, card, world, self.log, clock)
+        self.driver = Driver(Front, seed * 1000 + index, front_settings, world, self.log, clock)
         self.driver.viewers, self.driver.nodes, self.driver.moves = self, self, self
-        self.products = {p["name"]: (i, p) for i, p in enumerate(card["products"])}
+        self.products = {p["name"]: (i, p) for i, p in enumerate(front_settings["products"])}
         self.titles, self.viewers, self.nodes, self.count = world.titles, self, self, 0
-        self.between, self.who = (), {}
-        fronts = card["fronts"]
+        self.retrying, self.who = (), {}
+        fronts = front_settings["fronts"]
         others = [i for i in range(fronts) if i != index]
         self.members = (
             SimpleNamespace(
@@ -314,7 +327,7 @@
     def take(self, who):
         self.count += 1
         title = self.world.titles[who.title]
-        facts = forms.Facts(
+        facts = forms.PlayInfo(
             f"f{self.index}-{self.count}",
             0,
             who.product["name"],
@@ -327,27 +340,27 @@
         )
         now = self.driver.clock.now()
         self.who[facts.play] = who
-        held = Held(facts, title, None, now + 10 * who.product["limit_ms"] - 1000, now)
-        self.driver.asked(held, again=who.again, moved=False)
+        active_play = ActivePlay(facts, title, None, now + 10 * who.product["limit_ms"] - 1000, now)
+        self.driver.accept_request(active_play, again=who.again, moved=False)
 
-    def play(self, held, number):
-        self.world.told(self.who[held.facts.play], "served")
+    def play(self, active_play, number):
+        self.world.told(self.who[active_play.info.play], "served")
 
-    def decline(self, held, away):
-        self.world.told(self.who.pop(held.facts.play), "declined", away / 10_000)
+    def decline(self, active_play, away):
+        self.world.told(self.who.pop(active_play.info.play), "declined", away / 10_000)
 
-    def fail(self, held, why):
-        self.world.told(self.who.pop(held.facts.play), "failed")
+    def fail(self, active_play, why):
+        self.world.told(self.who.pop(active_play.info.play), "failed")
 
     # ---- nodes' side
 
-    def set_up(self, held, number, name, span):
+    def set_up(self, active_play, number, name, span):
         node = self.world.nodes[name]
-        if held.answered:
+        if active_play.answered:
             return None
-        ask = Ask(self, held, number, node)
+        ask = Ask(self, active_play, number, node)
         if not node.up:
-            self.driver.sites.heard(name, "refused")
+            self.driver.sites.node_contact(name, "refused")
             self.world.after(0.001, ask.settle, "unreached", 0.001)
             return ask
         if len(node.plays) >= node.spec["streams"]:
@@ -362,21 +375,21 @@
         return ask
 
     def first(self, ask, took, machine):
-        node, held = ask.node, ask.held
+        node, active_play = ask.node, ask.active_play
         if ask.over:
             return
         if not node.up or node.machine is not machine:
             ask.settle("broken", took)
             return
-        who = self.who[held.facts.play]
-        node.plays[held.facts.play] = self, held, who, 0.0
-        node.weigh(held.facts.play, self.rate(held, held.rung))
-        self.world.after(who.left, self.seen_enough, node, held.facts.play, who.left, who)
+        who = self.who[active_play.info.play]
+        node.plays[active_play.info.play] = self, active_play, who, 0.0
+        node.weigh(active_play.info.play, self.rate(active_play, active_play.rung))
+        self.world.after(who.left, self.seen_enough, node, active_play.info.play, who.left, who)
         ask.settle("ok", took, node.report())
 
-    def rate(self, held, rung):
-        scale = self.world.plan["scales"][held.facts.product]
-        return self.world.plan["rung_kb"][rung] * scale * (1 + 0.15 * (2 * unit(held.facts.title) - 1))
+    def rate(self, active_play, rung):
+        scale = self.world.plan["scales"][active_play.info.product]
+        return self.world.plan["rung_kb"][rung] * scale * (1 + 0.15 * (2 * unit(active_play.info.title) - 1))
 
     def seen_enough(self, node, play, span, who):
         if play in node.plays and node.plays[play][2] is who:
@@ -398,7 +411,7 @@
 
     def probed(self, name):
         node = self.world.nodes[name]
-        self.driver.hear(
+        self.driver.dispatch(
             "probed", name, "ok" if node.up else "unreached", 30, node.report() if node.up else {}
         )
 
@@ -407,19 +420,21 @@
 
     def looked(self, name):
         node = self.world.nodes[name]
-        self.driver.sites.heard(name, "answered" if node.up else "refused")
+        self.driver.sites.node_contact(name, "answered" if node.up else "refused")
 
     def stream_broke(self, name):
         for play in [
-            p for p, held in self.driver.plays.items() if held.node == name and held.playing is not None
+            p
+            for p, active_play in self.driver.plays.items()
+            if active_play.node == name and active_play.playing_number is not None
         ]:
             self.driver.play_ended(play, "broken")
-        self.driver.sites.heard(name, "reset")
+        self.driver.sites.node_contact(name, "reset")
         self.world.after(self.world.rng.uniform(0.1, 0.5), self.reach, name, 0.5)
 
     def reach(self, name, pause):
         node = self.world.nodes[name]
-        self.driver.sites.heard(name, "answered" if node.up else "refused")
+        self.driver.sites.node_contact(name, "answered" if node.up else "refused")
         if not node.up:
             self.world.after(self.world.rng.uniform(0.1, 3 * pause), self.reach, name, min(2.0, 1.5 * pause))
 
--- a/curlewhall/cli/main.py
+++ b/curlewhall/cli/main.py
@@ -74,11 +74,11 @@
 @click.argument("file", type=click.Path(dir_okay=False))
 def check(file: str) -> None:
     """Check the operator's FILE and say what a front would be told by it."""
-    from curlewhall.settings import rate_card
+    from curlewhall.settings import start_settings
 
     found = settings_of(file)
     table = Table("name", "value", title=f"{file}: sound")
-    for name, value in sorted(rate_card(found).items()):
+    for name, value in sorted(start_settings(found).items()):
         table.add_row(name, json.dumps(value))
     Console().print(table)
 
--- a/curlewhall/console/run.py
+++ b/curlewhall/console/run.py
@@ -158,7 +158,7 @@
         self.page(
             exchange,
             "plays.html",
-            rows=[view.row(self.front, held) for held in found],
+            rows=[view.row(self.front, active_play) for active_play in found],
             count=count,
             number=number,
             last=last,
@@ -177,11 +177,11 @@
         await future
 
     def play(self, exchange: Exchange, play: str) -> None:
-        held = self.front.driver.plays.get(play)
-        if held is None:
+        active_play = self.front.driver.plays.get(play)
+        if active_play is None:
             self.problem(exchange, 404, f"No play {play[:100]} is held here; it may be over")
         else:
-            self.page(exchange, "play.html", row=view.row(self.front, held), facts=held.facts)
+            self.page(exchange, "play.html", row=view.row(self.front, active_play), facts=active_play.info)
 
     def drain(self, exchange: Exchange) -> None:
         """Take a node out or back, for those who have the token."""
--- a/curlewhall/console/view.py
+++ b/curlewhall/console/view.py
@@ -30,7 +30,7 @@
     """Zones, in them racks, in them nodes: name, state, plays, per cent of its link asked for."""
     driver, mover = front.driver, front.driver.moves.mover
     now = driver.clock.now()
-    racks = max(1, driver.card["specifics.shelves"])
+    racks = max(1, driver.start_settings["specifics.shelves"])
     zones: dict[str, dict[int, list]] = defaultdict(lambda: defaultdict(list))
     for name, node in sorted(front.nodes.nodes.items()):
         row = front.follower.shown(node.row)
@@ -74,7 +74,7 @@
             for node in rack["nodes"]:
                 states[node["state"]] += 1
     stages = getattr(driver.module, "stages", {})
-    keeper = driver.keeper
+    play_store = driver.play_store
     return {
         "front": front.file.identity.name,
         "index": front.file.identity.index,
@@ -108,9 +108,9 @@
         "kept": "in memory"
         if not front.file.state.folder
         else "not at present"
-        if keeper.store.failing
+        if play_store.store.failing
         else "strict"
-        if keeper.strict
+        if play_store.strict
         else "lagging",
     }
 
@@ -128,25 +128,32 @@
     return sorted(found, key=lambda row: row["deadline"])
 
 
-def row(front, held) -> dict:
+def row(front, active_play) -> dict:
     """A play, for a table."""
-    facts = held.facts
+    facts = active_play.info
     return {
         "play": facts.play,
         "viewer": facts.viewer,
         "title": facts.title,
         "product": facts.product,
         "customer": facts.customer,
-        "node": held.node if held.playing is not None else held.target,
-        "rung": held.rung,
-        "state": "plays" if held.playing is not None else "answered" if held.answered else "is set up",
-        "for_s": (front.driver.clock.now() - held.taken) // 10_000,
+        "node": active_play.node if active_play.playing_number is not None else active_play.latest_node,
+        "rung": active_play.rung,
+        "state": "plays"
+        if active_play.playing_number is not None
+        else "answered"
+        if active_play.answered
+        else "is set up",
+        "for_s": (front.driver.clock.now() - active_play.received_at) // 10_000,
     }
 
 
-def match(held, words: str, node: str, product: str) -> bool:
-    facts = held.facts
-    if node and (held.node if held.playing is not None else held.target) != node:
+def match(active_play, words: str, node: str, product: str) -> bool:
+    facts = active_play.info
+    if (
+        node
+        and (active_play.node if active_play.playing_number is not None else active_play.latest_node) != node
+    ):
         return False
     if product and facts.product != product:
         return False
@@ -165,10 +172,10 @@
     Pages count from 0. What is looked at is a list taken before: plays come and go meanwhile.
     """
     found, count = [], 0
-    for number, held in enumerate(plays, 1):
-        if match(held, words, node, product):
+    for number, active_play in enumerate(plays, 1):
+        if match(active_play, words, node, product):
             if PAGE * page <= count < PAGE * (page + 1):
-                found.append(held)
+                found.append(active_play)
             count += 1
         if number % SLICE == 0:
             yield found, count
--- a/curlewhall/daemon/handover.py
+++ b/curlewhall/daemon/handover.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from curlewhall.front.driver import Held
+from curlewhall.front.driver import ActivePlay
 from curlewhall.front.nodes import module_row
 from curlewhall.moves.decide import FRESH
 from curlewhall.recovery.state import Entry, State
@@ -33,7 +33,7 @@
 class Carried(msgspec.Struct, frozen=True, array_like=True):
     """A play on its way: `node` is where it plays or was last asked for, `found`: its viewer may come."""
 
-    facts: forms.Facts
+    facts: forms.PlayInfo
     node: str
     taken: int
     limit: int
@@ -75,15 +75,19 @@
         yield things[i : i + few]
 
 
-def carried(held: Held, node: str, found: bool = False) -> Carried:
-    number = (held.playing if held.playing is not None else max(0, held.number)) + held.offset
+def carried(active_play: ActivePlay, node: str, found: bool = False) -> Carried:
+    number = (
+        active_play.playing_number
+        if active_play.playing_number is not None
+        else max(0, active_play.last_number)
+    ) + active_play.number_offset
     return Carried(
-        msgspec.structs.replace(held.facts, number=number, rung=held.rung),
+        msgspec.structs.replace(active_play.info, number=number, rung=active_play.rung),
         node,
-        held.taken,
-        held.limit,
+        active_play.received_at,
+        active_play.deadline,
         found,
-        held.moved_from,
+        active_play.moved_from,
     )
 
 
@@ -133,7 +137,7 @@
         if front.console is not None:
             front.console.close()
             front.console = None
-        driver.heir = self
+        driver.successor = self
         say = self.channel.send
         follower = front.follower
         rows, titles = list(follower.rows.values()), list(follower.titles.values())
@@ -145,28 +149,38 @@
             say("known", _pack(few))
         for few in pieces(self.reports()):
             say("reports", _pack(few))
-        found = {held.facts.play for helds in front.viewers.found.values() for held in helds}
-        plays = [held for held in driver.plays.values() if held.playing is not None]
-        for few in pieces(carried(held, held.node, held.facts.play in found) for held in plays):
+        found = {
+            active_play.info.play
+            for active_plays in front.viewers.found.values()
+            for active_play in active_plays
+        }
+        plays = [
+            active_play for active_play in driver.plays.values() if active_play.playing_number is not None
+        ]
+        for few in pieces(
+            carried(active_play, active_play.node, active_play.info.play in found) for active_play in plays
+        ):
             say("plays", _pack(few))
         flights = [
-            carried(held, held.target)
-            for held in [*driver.plays.values(), *driver.elsewhere.values()]
-            if held.playing is None and (held.out or not held.answered)
+            carried(active_play, active_play.latest_node)
+            for active_play in [*driver.plays.values(), *driver.plays_at_predecessor.values()]
+            if active_play.playing_number is None and (active_play.pending or not active_play.answered)
         ]
         for few in pieces(flights):
             say("flights", _pack(few))
         kept = [
-            (old, held.facts.play)
-            for old, held in front.viewers.successors.items()
-            if held.kept is not None and held.kept[0] == 200 and held.playing is not None
+            (old, active_play.info.play)
+            for old, active_play in front.viewers.successors.items()
+            if active_play.stored_answer is not None
+            and active_play.stored_answer[0] == 200
+            and active_play.playing_number is not None
         ]
         for few in pieces(kept):
             say("kept", _pack(few))
         moving = [
-            carried(held, "", True)
-            for held in driver.plays.values()
-            if held.moved_from and not held.answered and held.exchange is None
+            carried(active_play, "", True)
+            for active_play in driver.plays.values()
+            if active_play.moved_from and not active_play.answered and active_play.exchange is None
         ]
         for few in pieces(moving):
             say("moving", _pack(few))
@@ -178,7 +192,7 @@
     def reports(self) -> list[tuple[int, str, str, float]]:
         """What nodes told lately, when, in the order of its times."""
         mover, now = self.driver.moves.mover, self.driver.clock.now()
-        late = self.driver.card["specifics.told_late"]
+        late = self.driver.start_settings["specifics.told_late"]
         found = [
             (heard.at + late, name, "link_asked", heard.full)
             for name, heard in mover.heard.items()
@@ -194,16 +208,18 @@
 
     def hand_store(self) -> State | None:
         """Give the folder up; the state itself goes along only where there is no folder."""
-        keeper = self.driver.keeper
-        folder = not isinstance(keeper.store, Memory)
-        keeper.store.close()
-        keeper.store = Forward(self.channel, keeper.state)
-        return None if folder else keeper.state
+        play_store = self.driver.play_store
+        folder = not isinstance(play_store.store, Memory)
+        play_store.store.close()
+        play_store.store = Forward(self.channel, play_store.state)
+        return None if folder else play_store.state
 
     def heard(self, kind: str, facts: list, fds: list[int]) -> None:
         if kind == "serving":
             self.served = True
-            for play in [p for p, held in self.driver.plays.items() if held.playing is not None]:
+            for play in [
+                p for p, active_play in self.driver.plays.items() if active_play.playing_number is not None
+            ]:
                 del self.driver.plays[play]  # the successor's now
             self.front.server.heir = self.line
             self.front.log.info(
@@ -215,17 +231,21 @@
             self.front.follower.take(
                 forms.Listing("changes", lists.version, 0, lists.rows, lists.titles), "changes"
             )
-        elif kind == "sure" and isinstance(self.driver.keeper.store, Forward):
-            self.driver.keeper.store.sure(*facts)
+        elif kind == "sure" and isinstance(self.driver.play_store.store, Forward):
+            self.driver.play_store.store.sure(*facts)
 
-    def passed(self, held: Held, kept: bool = False) -> None:
+    def passed(self, active_play: ActivePlay, kept: bool = False) -> None:
         """A set-up of the old front's has played: it goes on with the successor. `kept`: the answer waits."""
-        self.channel.send("passed", _pack(carried(held, held.node)), kept or held.kept is not None)
+        self.channel.send(
+            "passed",
+            _pack(carried(active_play, active_play.node)),
+            kept or active_play.stored_answer is not None,
+        )
         if self.served:
-            self.driver.plays.pop(held.facts.play, None)
+            self.driver.plays.pop(active_play.info.play, None)
 
-    def lost(self, held: Held) -> None:
-        self.channel.send("lost", held.facts.play, held.moved_from)
+    def lost(self, active_play: ActivePlay) -> None:
+        self.channel.send("lost", active_play.info.play, active_play.moved_from)
 
     def line(self, sock: socket.socket, data: bytes) -> None:
         """A viewer's connection; the loop has stopped reading from it."""
@@ -238,7 +258,7 @@
         if self.over:
             return
         front, before = self.front, self.front.coming
-        owed = self.driver.plays or self.driver.moves.between or front.server.connections
+        owed = self.driver.plays or self.driver.moves.retrying or front.server.connections
         # Danger: a chain of hand-overs. What this front's own predecessor still sends comes through here.
         owed = owed or before is not None and not before.channel.closed
         if owed or not self.channel.flush():
@@ -256,8 +276,8 @@
             self.front.server.heir = lambda sock, data: self.front.loop.call_soon(sock.close)
             return
         self.over = True
-        self.driver.heir = None
-        self.driver.keeper.store.close()
+        self.driver.successor = None
+        self.driver.play_store.store.close()
         self.front.open_store()
         self.front.nodes.leaving = False
         self.front.follower.come_back()
@@ -285,7 +305,7 @@
         self.moving: list[Carried] = []
         self.kept: list[tuple[str, str]] = []
         self.entries: list[Entry] = []
-        self.expected: dict[str, Held] = {}  # moved play -> what its viewer may be waiting for here
+        self.expected: dict[str, ActivePlay] = {}  # moved play -> what its viewer may be waiting for here
         self.channel = Channel(loop, sock, self.heard, self.ended)
 
     def heard(self, kind: str, facts: list, fds: list[int]) -> None:
@@ -315,7 +335,7 @@
         if self.front is None:
             self.failed("the old front is gone")
         else:
-            for play in list(self.front.driver.elsewhere):
+            for play in list(self.front.driver.plays_at_predecessor):
                 self.heard_lost(play, "")
             for old in list(self.expected):
                 self.heard_lost("", old)
@@ -349,10 +369,10 @@
         told += [(min(now, at), 1, (name, kind, value)) for at, name, kind, value in self.reports]
         for at, what, fact in sorted(told, key=lambda row: row[:2]):
             if what == 0:
-                driver.hear_of(at, "listed", "changes", [module_row(fact, driver)])
+                driver.dispatch_at(at, "listed", "changes", [module_row(fact, driver)])
             else:
-                driver.hear_of(at, "note", "", 0, *fact)
-        driver.moves.listed([row for row in shown if row.state != "gone"], now, unix)
+                driver.dispatch_at(at, "note", "", 0, *fact)
+        driver.moves.nodes_listed([row for row in shown if row.state != "gone"], now, unix)
         for at, name, kind, value in self.reports:
             driver.moves.mover.report(at, name, kind, value)
         for name, count in self.counts.items():
@@ -362,16 +382,20 @@
         for ply in self.flights:
             title = front.viewers.titles.get(ply.facts.title)
             if title is not None:
-                held = driver.elsewhere[ply.facts.play] = Held(ply.facts, title, None, ply.limit, ply.taken)
-                held.target = ply.node
-                driver.found_at(held, ply.node)  # it takes a seat, wherever it is being set up
+                active_play = driver.plays_at_predecessor[ply.facts.play] = ActivePlay(
+                    ply.facts, title, None, ply.limit, ply.taken
+                )
+                active_play.latest_node = ply.node
+                # it takes a seat, wherever it is being set up
+                driver.register_existing_play(active_play, ply.node)
         for ply in self.moving:
             self.expect(ply)
         for old, play in self.kept:
-            held = driver.plays.get(play)
-            if held is not None:
-                front.viewers.play(held, held.playing + held.offset)  # kept for its viewer
-                front.viewers.successors[old] = held
+            active_play = driver.plays.get(play)
+            if active_play is not None:
+                # kept for its viewer
+                front.viewers.play(active_play, active_play.playing_number + active_play.number_offset)
+                front.viewers.successors[old] = active_play
 
     def serving(self) -> None:
         self.channel.send("serving")
@@ -381,22 +405,31 @@
         for few in pieces(listing.rows):
             self.channel.send("list", _pack(Lists(few, [], listing.version, [])))
 
-    def carry(self, ply: Carried) -> Held | None:
+    def carry(self, ply: Carried) -> ActivePlay | None:
         """A play of the old front's is this one's now."""
         front, driver = self.front, self.front.driver
         title = front.viewers.titles.get(ply.facts.title)
         if title is None or ply.facts.product not in front.viewers.products:
             return None
-        held = Held(ply.facts, title, None, ply.limit, ply.taken)
-        held.answered, held.number, held.playing, held.offset = True, 0, 0, ply.facts.number
-        held.node, held.rung, held.began = ply.node, ply.facts.rung, driver.clock.now()
-        driver.plays[ply.facts.play] = held
+        active_play = ActivePlay(ply.facts, title, None, ply.limit, ply.taken)
+        (
+            active_play.answered,
+            active_play.last_number,
+            active_play.playing_number,
+            active_play.number_offset,
+        ) = True, 0, 0, ply.facts.number
+        active_play.node, active_play.rung, active_play.playing_since = (
+            ply.node,
+            ply.facts.rung,
+            driver.clock.now(),
+        )
+        driver.plays[ply.facts.play] = active_play
         if ply.found:
-            front.viewers.resumed(held)
-        driver.found_at(held, ply.node)
-        driver.hear("note", ply.facts.play, 0, ply.node, "rung", float(ply.facts.rung))
-        driver.moves.playing(held)
-        return held
+            front.viewers.resumed(active_play)
+        driver.register_existing_play(active_play, ply.node)
+        driver.dispatch("note", ply.facts.play, 0, ply.node, "rung", float(ply.facts.rung))
+        driver.moves.play_started(active_play)
+        return active_play
 
     def expect(self, ply: Carried) -> None:
         """A move under way at the old front: its viewer may come here for the answer."""
@@ -404,66 +437,66 @@
         title = viewers.titles.get(ply.facts.title)
         if title is None:
             return
-        held = Held(ply.facts, title, None, ply.limit, ply.taken)
-        self.expected[ply.moved_from] = held
-        viewers.successors[ply.moved_from] = held
+        active_play = ActivePlay(ply.facts, title, None, ply.limit, ply.taken)
+        self.expected[ply.moved_from] = active_play
+        viewers.successors[ply.moved_from] = active_play
         span = max(0, ply.limit - driver.clock.now()) / SECOND + 0.02
-        held.guard = self.front.timers.after(span, self.heard_lost, "", ply.moved_from)
+        active_play.deadline_timer = self.front.timers.after(span, self.heard_lost, "", ply.moved_from)
 
     # ---- while the old front finishes
 
     def heard_passed(self, data: bytes, kept: bool) -> None:
         ply, driver = unpack(Carried, data), self.front.driver
         play = ply.facts.play
-        flight = driver.elsewhere.pop(play, None)
+        flight = driver.plays_at_predecessor.pop(play, None)
         waiting = self.settled(ply.moved_from)
         if play in driver.plays:  # its node told of it first
             self.front.viewers.found.pop((ply.facts.viewer, ply.facts.title, ply.facts.product), None)
-            held = driver.plays[play]
+            active_play = driver.plays[play]
         else:
-            if flight is not None and flight.target != ply.node:
-                driver.hear("ended", play, 0, flight.target, "withdrawn", True, 0, {})
-            held = self.carry(ply)
-        if held is None:
+            if flight is not None and flight.latest_node != ply.node:
+                driver.dispatch("ended", play, 0, flight.latest_node, "withdrawn", True, 0, {})
+            active_play = self.carry(ply)
+        if active_play is None:
             return
-        if driver.heir is not None:  # handed over once more meanwhile
-            held.moved_from = ply.moved_from
-            driver.heir.passed(held, kept)
+        if driver.successor is not None:  # handed over once more meanwhile
+            active_play.moved_from = ply.moved_from
+            driver.successor.passed(active_play, kept)
             return
         if not kept:
             return
         # its viewer has not come for the answer, or has come here
         viewers = self.front.viewers
-        held.exchange = waiting.exchange if waiting is not None else None
-        if held.exchange is not None:
-            held.exchange.gone = None
-        viewers.play(held, held.playing + held.offset)
-        if held.kept is not None and ply.moved_from:
-            viewers.successors[ply.moved_from] = held
+        active_play.exchange = waiting.exchange if waiting is not None else None
+        if active_play.exchange is not None:
+            active_play.exchange.gone = None
+        viewers.play(active_play, active_play.playing_number + active_play.number_offset)
+        if active_play.stored_answer is not None and ply.moved_from:
+            viewers.successors[ply.moved_from] = active_play
 
     def heard_lost(self, play: str, moved_from: str) -> None:
         driver = self.front.driver
-        flight = driver.elsewhere.pop(play, None)
+        flight = driver.plays_at_predecessor.pop(play, None)
         if flight is not None and play not in driver.plays:
-            driver.hear("ended", play, 0, flight.target, "withdrawn", True, 0, {})
+            driver.dispatch("ended", play, 0, flight.latest_node, "withdrawn", True, 0, {})
         waiting = self.settled(moved_from)
-        if driver.heir is not None and flight is not None:
-            driver.heir.lost(flight)
+        if driver.successor is not None and flight is not None:
+            driver.successor.lost(flight)
         if waiting is not None and waiting.exchange is not None:
             self.front.viewers.decline(waiting, 0)
         elif moved_from:
             self.front.viewers.successors.pop(moved_from, None)
 
-    def settled(self, moved_from: str) -> Held | None:
-        held = self.expected.pop(moved_from, None)
-        if held is not None and held.guard is not None:
-            held.guard.cancel()
-        return held
+    def settled(self, moved_from: str) -> ActivePlay | None:
+        active_play = self.expected.pop(moved_from, None)
+        if active_play is not None and active_play.deadline_timer is not None:
+            active_play.deadline_timer.cancel()
+        return active_play
 
     def heard_entry(self, number: int, data: bytes) -> None:
-        entry, keeper = unpack(Entry, data), self.front.driver.keeper
+        entry, play_store = unpack(Entry, data), self.front.driver.play_store
         then = (lambda sure: self.channel.send("sure", number, sure)) if number else None
-        keeper.store.add(entry, then)
+        play_store.store.add(entry, then)
 
     def heard_line(self, data: bytes, number: int) -> None:
         self.front.server.adopt_number(number, data)
--- a/curlewhall/daemon/worker.py
+++ b/curlewhall/daemon/worker.py
@@ -15,7 +15,7 @@
 
 from curlewhall import logs
 from curlewhall.errors import describe
-from curlewhall.front.collector import calm_collector
+from curlewhall.front.collector import tune_garbage_collector
 from curlewhall.front.serve import FrontProcess, policy, raise_descriptors
 from curlewhall.recovery.form import NewerFormatError
 from curlewhall.recovery.store import StoreLockedError
@@ -99,7 +99,7 @@
             coming.serving()
         await self.front.ready.wait()
         self.daemon.send("ready")
-        calm_collector()
+        tune_garbage_collector()
 
     def route(self, messages):
         """Another worker's viewer goes there, connection and all, by way of the daemon.
@@ -193,7 +193,7 @@
             if self.front is None
             else {
                 "counts": self.front.driver.counts,
-                "held": sum(h.playing is not None for h in self.front.driver.plays.values()),
+                "held": sum(h.playing_number is not None for h in self.front.driver.plays.values()),
                 "connections": len(self.front.server.connections) if self.front.server else 0,
             }
         )
--- a/curlewhall/drills/baselines.py
+++ b/curlewhall/drills/baselines.py
@@ -21,9 +21,9 @@
 class RandomLowest:
     """A random holder, at the lowest rung that the product may have."""
 
-    def __init__(self, now, seed, rate_card) -> None:
-        self.card, self.seed, self.draws = rate_card, seed, 0
-        self.products = {p["name"]: (i, p) for i, p in enumerate(rate_card["products"])}
+    def __init__(self, now, seed, start_settings) -> None:
+        self.start_settings, self.seed, self.draws = start_settings, seed, 0
+        self.products = {p["name"]: (i, p) for i, p in enumerate(start_settings["products"])}
         self.rows, self.plays, self.held = {}, {}, {}
         self.takes, self.further = deque(), deque()
 
@@ -55,7 +55,7 @@
         again,
     ):
         self.takes.append(now)
-        count = self.card["specifics.places"]
+        count = self.start_settings["specifics.places"]
         self.plays[play] = Ask(product, limit, {(first_place + i) % count for i in range(places)})
         return self.send(now, play)
 
@@ -63,20 +63,20 @@
         return nodes[self.chance(len(nodes))]
 
     def rung(self, product):
-        return self.card["specifics.floor_by_class"][self.products[product][0]]
+        return self.start_settings["specifics.floor_by_class"][self.products[product][0]]
 
     def seated(self, play, ask):
         return True
 
     def send(self, now, play):
-        ask, count = self.plays[play], self.card["specifics.places"]
+        ask, count = self.plays[play], self.start_settings["specifics.places"]
         terms = self.products[ask.product][1]
         nodes = [
             row.node
             for row in self.rows.values()
             if row.state == "serving" and row.place % count in ask.cells and row.node not in ask.nodes
         ]
-        most = self.card["permissions.max_allocations"]
+        most = self.start_settings["permissions.max_allocations"]
         if not nodes or ask.limit - now < 300 or len(ask.nodes) >= most or not self.spare(now, ask):
             return self.decline(play, ask, terms)
         node = self.choose(nodes)
@@ -93,19 +93,19 @@
         del self.plays[play]
         if ask.spent and terms["idempotency"] != "pure":
             return [("fail", play)]
-        return [("decline", play, self.card["permissions.max_retry_after"])]
+        return [("decline", play, self.start_settings["permissions.max_retry_after"])]
 
     def spare(self, now, ask):
         if not ask.nodes:
             return True
-        if "rules.look_back" not in self.card:
+        if "rules.look_back" not in self.start_settings:
             return True
-        since = now - self.card["rules.look_back"]
+        since = now - self.start_settings["rules.look_back"]
         for times in (self.takes, self.further):
             while times and times[0] <= since:
                 times.popleft()
-        share = self.card["rules.extra_per_request"] * len(self.takes)
-        return len(self.further) + 2 <= self.card["rules.spare_allocations"] + share
+        share = self.start_settings["rules.extra_per_request"] * len(self.takes)
+        return len(self.further) + 2 <= self.start_settings["rules.spare_allocations"] + share
 
     def first_frame(self, now, play, number, node, took):
         self.plays[play].answered = True
@@ -158,7 +158,7 @@
         return min(pair, key=lambda node: self.held.get(node, 0))
 
     def rung(self, product):
-        return max(super().rung(product), (len(self.card["specifics.rung_kb"]) - 1) // 2)
+        return max(super().rung(product), (len(self.start_settings["specifics.rung_kb"]) - 1) // 2)
 
 
 class Nothing(RandomLowest):
--- a/curlewhall/drills/breakers.py
+++ b/curlewhall/drills/breakers.py
@@ -52,8 +52,8 @@
 class Rush(Front):
     """Rule 4: gathers plays while a node has started lately, then sends them all to it at once."""
 
-    def __init__(self, now, seed, rate_card):
-        super().__init__(now, seed, rate_card)
+    def __init__(self, now, seed, start_settings):
+        super().__init__(now, seed, start_settings)
         self.gathered, self.young = [], None
         self.chain = [(self.gathering, None), *self.chain[:3], *self.chain[8:]]
 
--- a/curlewhall/drills/fleet.py
+++ b/curlewhall/drills/fleet.py
@@ -335,7 +335,7 @@
     def await_line(
         self, process: subprocess.Popen, word: str, name: str, span: float = 30.0, since: int = 0
     ) -> None:
-        """Wait until the process has written `word`; `DrillProcessError` when it ends first or takes too long."""
+        """Wait until the process has written `word`; `DrillProcessError` if it ends first or is too slow."""
         until = time.monotonic() + span
         while time.monotonic() < until:
             if word.encode() in (self.folder / f"{name}.log").read_bytes()[since:]:
--- a/curlewhall/front/collector.py
+++ b/curlewhall/front/collector.py
@@ -1,9 +1,9 @@
-"""The collector of a process that lives long; both doors use it, so it loads nothing of either."""
+"""The collector of a process that lives long; both front ends use it, so it loads nothing of either."""
 
 import gc
 
 
-def calm_collector(first: int = 20_000, third: int = 50) -> None:
+def tune_garbage_collector(first: int = 20_000, third: int = 50) -> None:
     """What lives as long as the process is not looked through again and again.
 
     Danger: with 10,000 plays held the collector's full rounds stop the loop for tens of milliseconds. Plays
--- a/curlewhall/front/listing.py
+++ b/curlewhall/front/listing.py
@@ -58,7 +58,7 @@
         self.driver, self.pool, self.front, self.kept = driver, pool, front, kept
         self.rows: dict[str, forms.Row] = {}
         self.titles: dict[str, forms.Title] = {}
-        self.asks = Asks(seed, driver.card.get("fronts", 1), helped)
+        self.asks = Asks(seed, driver.start_settings.get("fronts", 1), helped)
         self.lines, self.stream, self.silence, self.failing = forms.Lines(), None, None, False
         self.spoken, self.watcher = False, None  # whether the service has; the operators' files
         self.leaving = False  # the successor follows; what it hears is told to this front
@@ -169,18 +169,18 @@
     def tell_module(self, rows: list[forms.Row]) -> None:
         """Tell module and mover of nodes that may get plays now, or not any more; the list is as it was."""
         now, unix = self.driver.clock.now(), int(time.time() * 1000)
-        self.driver.listed("changes", [self.for_module(self.shown(row)) for row in rows])
-        self.driver.moves.listed(self.sure(self.rows.values()), now, unix)
+        self.driver.update_nodes("changes", [self.for_module(self.shown(row)) for row in rows])
+        self.driver.moves.nodes_listed(self.sure(self.rows.values()), now, unix)
         self.look_ready()
 
     def for_module(self, row: forms.Row):
         told = module_row(row, self.driver)
-        return told._replace(started=self.driver.sites.cold(row, told.started))
+        return told._replace(started=self.driver.sites.effective_start(row, told.started))
 
     @property
     def unsure(self) -> set[str]:
         """Nodes that get no plays, whatever the list says."""
-        return self.belief.unsure | self.driver.sites.hidden
+        return self.belief.unsure | self.driver.sites.hidden_nodes
 
     def sure(self, rows) -> list[forms.Row]:
         """Those that may get plays, as they are shown."""
@@ -279,7 +279,7 @@
         }
         self.version = listing.version
         self.driver.viewers.titles = self.titles
-        self.driver.sites.listed(rows, how != "changes")
+        self.driver.sites.nodes_listed(rows, how != "changes")
         rows, unsure = [self.shown(row) for row in rows], self.unsure
         # Danger: of a node that the module may still hold for serving, that it drains or is gone must be told
         left = [
@@ -289,8 +289,8 @@
         ]
         now, unix = self.driver.clock.now(), int(time.time() * 1000)
         self.driver.nodes.listed(rows, whole=how != "changes")  # first: the module may allocate at once
-        self.driver.listed(how, [self.for_module(row) for row in left])
-        self.driver.moves.listed(self.sure(self.rows.values()), now, unix)
+        self.driver.update_nodes(how, [self.for_module(row) for row in left])
+        self.driver.moves.nodes_listed(self.sure(self.rows.values()), now, unix)
         if self.tell is not None:
             self.tell(listing)
         self.driver.log.info("list", how=how, version=listing.version, rows=len(rows))
@@ -392,7 +392,7 @@
             return
         if not self.failing:
             self.failing = True
-            self.driver.listed("failed", [])
+            self.driver.update_nodes("failed", [])
             self.driver.log.warning("the list service is out of reach", how=reply.ending)
         self.outcome = True
         self.look_ready()
--- a/curlewhall/front/lists.py
+++ b/curlewhall/front/lists.py
@@ -66,7 +66,7 @@
     def __init__(self, follower, pools: dict[int, Pool], key: bytes, seed: int) -> None:
         self.follower, self.pools, self.key = follower, pools, key
         self.timers, self.turn, self.ask = follower.driver.timers, None, None
-        self.borrows = Borrows(seed, list(pools), follower.driver.card.get("fronts", 1))
+        self.borrows = Borrows(seed, list(pools), follower.driver.start_settings.get("fronts", 1))
         self.closed = False
 
     def start(self) -> None:
--- a/curlewhall/front/nodes.py
+++ b/curlewhall/front/nodes.py
@@ -15,7 +15,7 @@
 from curlewhall.wire.client import Ask, Pool, Reply
 from curlewhall.wire.http import request_bytes
 
-from .driver import Driver, Held
+from .driver import ActivePlay, Driver
 
 FOREVER = 86_400.0
 END_LIMIT = 1.0  # for what is said to a node without waiting for it
@@ -96,12 +96,14 @@
 
     # ---- what is asked of a node
 
-    def set_up(self, held: Held, number: int, name: str, span: float) -> Ask | None:
+    def set_up(self, active_play: ActivePlay, number: int, name: str, span: float) -> Ask | None:
         """Ask a node to set a play up; None where it is not listed or the play is closed."""
         node = self.nodes.get(name)
-        if node is None or held.answered:
+        if node is None or active_play.answered:
             return None
-        facts = forms.msgspec.structs.replace(held.facts, number=number + held.offset, rung=held.rung)
+        facts = forms.msgspec.structs.replace(
+            active_play.info, number=number + active_play.number_offset, rung=active_play.rung
+        )
         if node.pause is not None:
             self.follow(node)  # what it says of the play is wanted from now on
         body = forms.encode(forms.SetUp(self.front, facts, span * 1000))
@@ -111,23 +113,23 @@
         was = node.row.state, node.row.started_ms
 
         def may() -> bool:
-            here = held.exchange is None or not held.exchange.hung_up()
-            return here and (node.row.state, node.row.started_ms) == was and not held.closed
+            here = active_play.exchange is None or not active_play.exchange.hung_up()
+            return here and (node.row.state, node.row.started_ms) == was and not active_play.closed
 
         return node.pool.ask(
-            data, max(0.0, span), lambda reply: self.set_up_done(held, number, name, reply), may=may
+            data, max(0.0, span), lambda reply: self.set_up_done(active_play, number, name, reply), may=may
         )
 
-    def set_up_done(self, held: Held, number: int, name: str, reply: Reply) -> None:
+    def set_up_done(self, active_play: ActivePlay, number: int, name: str, reply: Reply) -> None:
         how, report = reply.ending, {}
         if how == "unreached":
-            self.driver.sites.heard(name, failure(reply))
+            self.driver.sites.node_contact(name, failure(reply))
         if how == "ok":
             try:
                 done = forms.decode(forms.SetUpDone, reply.message.body)
                 same = done.node == name and (done.play, done.number) == (
-                    held.facts.play,
-                    number + held.offset,
+                    active_play.info.play,
+                    number + active_play.number_offset,
                 )
                 if reply.message.status == 201 and same:
                     report = done.report
@@ -137,7 +139,7 @@
                     how = "error"
             except forms.DecodeError:
                 how = "error"
-        self.driver.set_up_ended(held, number, name, how, reply.took, report)
+        self.driver.allocation_ended(active_play, number, name, how, reply.took, report)
 
     def set_rung(self, name: str, play: str, number: int, rung: int) -> None:
         body = forms.encode(forms.Rung(number, rung))
@@ -167,7 +169,7 @@
     def probe(self, name: str) -> None:
         node = self.nodes.get(name)
         if node is None:
-            self.driver.hear("probed", name, "not_sent", 0, {})
+            self.driver.dispatch("probed", name, "not_sent", 0, {})
             return
         self.ask_load(node, self.probe_limit, lambda reply: self.probed(name, reply))
 
@@ -176,7 +178,7 @@
 
     def probed(self, name: str, reply: Reply) -> None:
         how, report = self.load(name, reply)
-        self.driver.hear("probed", name, how, int(reply.took * 10_000), report)
+        self.driver.dispatch("probed", name, how, int(reply.took * 10_000), report)
 
     @staticmethod
     def load(name: str, reply: Reply) -> tuple[str, dict]:
@@ -199,11 +201,11 @@
     def looked(self, name: str, reply: Reply) -> None:
         how, report = self.load(name, reply)
         if how == "ok":
-            self.driver.sites.heard(name, "answered")
+            self.driver.sites.node_contact(name, "answered")
             if "link_asked" in report:
-                self.driver.sites.report(name, "link_asked", report["link_asked"])
+                self.driver.sites.node_reported(name, "link_asked", report["link_asked"])
         elif how != "not_sent":
-            self.driver.sites.heard(name, failure(reply))
+            self.driver.sites.node_contact(name, failure(reply))
 
     # ---- what a node tells
 
@@ -211,7 +213,7 @@
         """At once where a paid play's fate hangs on what the node says."""
         if node.pause is not None:
             node.pause.cancel()
-        span = 0.0 if self.driver.keeper.waits_for(node.row.node) else span
+        span = 0.0 if self.driver.play_store.awaits_node(node.row.node) else span
         node.pause = self.timers.after(span, self.follow, node)
 
     def follow(self, node: Node) -> None:
@@ -249,7 +251,7 @@
             return
         node.since = self.driver.clock.now()
         if reply.ending in ("unreached", "broken"):
-            self.driver.sites.heard(node.row.node, failure(reply))
+            self.driver.sites.node_contact(node.row.node, failure(reply))
         if failure(reply) == "refused":
             # The process is gone and its plays with it. Danger: where no connection comes up the node may
             # only be cut off from here, its plays go on for their viewers, and it would be told to end them
@@ -258,9 +260,11 @@
         self.follow_later(node, node.waits.next())
 
     def lost(self, name: str) -> None:
-        self.driver.keeper.spoke(name, ())
+        self.driver.play_store.node_connected(name, ())
         for play in [
-            p for p, held in self.driver.plays.items() if held.node == name and held.playing is not None
+            p
+            for p, active_play in self.driver.plays.items()
+            if active_play.node == name and active_play.playing_number is not None
         ]:
             self.driver.play_ended(play, "broken")
 
@@ -268,21 +272,26 @@
         if event.kind == "hello":
             self.hello(name, event)
             return
-        self.driver.sites.heard(name, "spoke")
-        held = self.driver.plays.get(event.play)
-        if held is None or event.kind == "tick":
+        self.driver.sites.node_contact(name, "spoke")
+        active_play = self.driver.plays.get(event.play)
+        if active_play is None or event.kind == "tick":
             return
-        if any(number + held.offset == event.number for number in held.out):
-            if len(held.stash) < 16:  # its set-up's answer is on another connection and not read yet
-                held.stash.append(event)
-        elif held.playing is None or held.node != name or held.playing + held.offset != event.number:
+        if any(number + active_play.number_offset == event.number for number in active_play.pending):
+            # its set-up's answer is on another connection and not read yet
+            if len(active_play.early_events) < 16:
+                active_play.early_events.append(event)
+        elif (
+            active_play.playing_number is None
+            or active_play.node != name
+            or active_play.playing_number + active_play.number_offset != event.number
+        ):
             return
         elif event.kind == "ended":
             self.driver.play_ended(event.play, event.how if event.how in ("ok", "broken") else "withdrawn")
         elif event.kind == "buffer":
             self.driver.moves.buffer(event.play, event.value)
         elif event.kind in NOTES:
-            self.driver.noted(event.play, name, event.kind, event.value)
+            self.driver.play_noted(event.play, name, event.kind, event.value)
 
     def hello(self, name: str, event: forms.Event) -> None:
         node = self.nodes.get(name)
@@ -293,26 +302,26 @@
             self.driver.log.warning("a stranger answers at a node's address", node=name, found=event.node)
             return
         there = {facts.play: facts for facts in event.plays}
-        self.driver.sites.heard(
+        self.driver.sites.node_contact(
             name,
             "answered",
             any(
-                held.playing is not None and held.node == name
+                active_play.playing_number is not None and active_play.node == name
                 for play in there
-                if (held := self.driver.plays.get(play)) is not None
+                if (active_play := self.driver.plays.get(play)) is not None
             ),
         )
-        elsewhere = self.driver.elsewhere
+        elsewhere = self.driver.plays_at_predecessor
         gone = [
-            (play, held)
-            for play, held in self.driver.plays.items()
-            if held.node == name and held.playing is not None and play not in there
+            (play, active_play)
+            for play, active_play in self.driver.plays.items()
+            if active_play.node == name and active_play.playing_number is not None and play not in there
         ]
         # Danger: set-ups come by other connections. A hello says nothing of those that are out, nor of plays
         # whose first frame was read after the hello was asked for: the next one tells.
-        later = {play for play, held in gone if held.began >= node.asked}
-        out = {play for play, held in self.driver.plays.items() if held.out}
-        self.driver.keeper.spoke(name, there.keys() | elsewhere.keys() | out | later)
+        later = {play for play, active_play in gone if active_play.playing_since >= node.asked}
+        out = {play for play, active_play in self.driver.plays.items() if active_play.pending}
+        self.driver.play_store.node_connected(name, there.keys() | elsewhere.keys() | out | later)
         if later:
             self.loop.call_soon(node.stream.withdraw)
         node.waits.anew()
@@ -327,21 +336,21 @@
                 if node.greeted or title is None or facts.product not in self.driver.viewers.products:
                     self.end(name, play, facts.number, "unknown")
                 else:
-                    self.driver.resumed(facts, title, name)
+                    self.driver.resume_play(facts, title, name)
         node.greeted = True
 
     def state(self) -> list[dict]:
-        held: dict[str, int] = {}
-        for ply in self.driver.plays.values():
-            if ply.playing is not None:
-                held[ply.node] = held.get(ply.node, 0) + 1
+        plays_by_node: dict[str, int] = {}
+        for active_play in self.driver.plays.values():
+            if active_play.playing_number is not None:
+                plays_by_node[active_play.node] = plays_by_node.get(active_play.node, 0) + 1
         return [
             {
                 "node": name,
                 "state": node.row.state,
                 "zone": node.row.zone,
                 "place": node.row.place,
-                "plays": held.get(name, 0),
+                "plays": plays_by_node.get(name, 0),
                 "stream": node.greeted and node.stream is not None,
             }
             for name, node in sorted(self.nodes.items())
@@ -368,5 +377,5 @@
         row.kind,
         row.state,
         row.weight,
-        driver.started(row.node, row.started_ms),
+        driver.node_start_time(row.node, row.started_ms),
     )
--- a/curlewhall/front/parting.py
+++ b/curlewhall/front/parting.py
@@ -14,7 +14,7 @@
 from curlewhall.wire.server import Exchange
 
 from . import problems
-from .driver import Held
+from .driver import ActivePlay
 from .sharing import order, takes
 
 AUDIENCE = "curlewhall:offer"  # of an offer's token, where a viewer's has its node
@@ -33,7 +33,11 @@
 
     async def all(self) -> int:
         """Offer every play; answers how many were taken."""
-        waiting = [held for held in self.driver.plays.values() if held.playing is not None]
+        waiting = [
+            active_play
+            for active_play in self.driver.plays.values()
+            if active_play.playing_number is not None
+        ]
         until = self.front.loop.time() + LONGEST
 
         async def worker() -> None:
@@ -44,26 +48,26 @@
             await asyncio.gather(*(worker() for _ in range(min(OUT, len(waiting)))))
         return self.given
 
-    async def one(self, held: Held) -> None:
-        facts = held.facts
+    async def one(self, active_play: ActivePlay) -> None:
+        facts = active_play.info
         for i in order(facts.play, len(self.peers)):
-            if held.playing is None:
+            if active_play.playing_number is None:
                 return  # over meanwhile
-            number = held.playing + held.offset
-            now = forms.msgspec.structs.replace(facts, number=number, rung=held.rung)
+            number = active_play.playing_number + active_play.number_offset
+            now = forms.msgspec.structs.replace(facts, number=number, rung=active_play.rung)
             session = tokens.Session(
                 facts.play, number, AUDIENCE, self.front.viewers.front, facts.title, facts.product
             )
             proof = tokens.sign(session, self.front.viewers.key, time.time(), LIFE)
             pool = self.peers[i]
-            body = forms.encode(forms.Offer(self.front.viewers.front, now, held.node))
+            body = forms.encode(forms.Offer(self.front.viewers.front, now, active_play.node))
             reply = await pool.fetch(
                 request_bytes("POST", "/v1/offer", pool.host, body, authorization=f"Bearer {proof}"), LIMIT
             )
             if reply.ending == "ok" and reply.message.status == 204:
                 self.given += 1
                 self.driver.plays.pop(facts.play, None)
-                self.driver.keeper.over(facts.play)
+                self.driver.play_store.play_over(facts.play)
                 return
             if reply.ending not in ("ok", "unreached", "not_sent"):
                 return  # it may have been taken: offering it to another could make two of one
@@ -99,46 +103,46 @@
         node = driver.nodes.nodes.get(offer.node)
         if (
             not self.viewers.open
-            or driver.heir is not None
+            or driver.successor is not None
             or node is None
             or not node.greeted
             or node.stream is None
             or facts.play in driver.plays
-            or facts.play in driver.elsewhere
+            or facts.play in driver.plays_at_predecessor
             or facts.title not in self.viewers.titles
             or facts.product not in self.viewers.products
         ):
             return False
         index = self.viewers.products[facts.product][0]
-        held = sum(
-            h.facts.title == facts.title and h.facts.product == facts.product
-            for plays in (driver.plays, driver.elsewhere)
+        plays_held = sum(
+            h.info.title == facts.title and h.info.product == facts.product
+            for plays in (driver.plays, driver.plays_at_predecessor)
             for h in plays.values()
         )
-        return takes(driver.card["specifics.seats"][index], held)
+        return takes(driver.start_settings["specifics.seats"][index], plays_held)
 
     def take(self, exchange: Exchange, offer: forms.Offer) -> None:
         """Danger: two fronts that count a seat for a play, or none. The module counts it from now on."""
         driver, facts = self.driver, offer.facts
         now = driver.clock.now()
-        held = Held(facts, self.viewers.titles[facts.title], None, now, now)
-        held.target = offer.node
-        driver.elsewhere[facts.play] = held
-        driver.found_at(held, offer.node)
+        active_play = ActivePlay(facts, self.viewers.titles[facts.title], None, now, now)
+        active_play.latest_node = offer.node
+        driver.plays_at_predecessor[facts.play] = active_play
+        driver.register_existing_play(active_play, offer.node)
         body = forms.encode(forms.Given(facts.number, self.viewers.front, self.viewers.location(facts)))
         node = driver.nodes.nodes[offer.node]
         data = request_bytes("PUT", f"/v1/plays/{facts.play}/front", node.pool.host, body)
-        node.pool.ask(data, LIMIT / 2, lambda reply: self.taken(exchange, offer, held, reply))
+        node.pool.ask(data, LIMIT / 2, lambda reply: self.taken(exchange, offer, active_play, reply))
 
-    def taken(self, exchange: Exchange, offer: forms.Offer, held: Held, reply) -> None:
+    def taken(self, exchange: Exchange, offer: forms.Offer, active_play: ActivePlay, reply) -> None:
         driver, play = self.driver, offer.facts.play
-        driver.elsewhere.pop(play, None)
+        driver.plays_at_predecessor.pop(play, None)
         if reply.ending == "ok" and reply.message.status == 204:
-            driver.holds(held, offer.node)
+            driver.adopt_play(active_play, offer.node)
             driver.log.info("taken over", play=play, node=offer.node, front=offer.front)
             exchange.reply(204)
             return
-        driver.hear("ended", play, 0, offer.node, "withdrawn", True, 0, {})
+        driver.dispatch("ended", play, 0, offer.node, "withdrawn", True, 0, {})
         node = driver.nodes.nodes.get(offer.node)
         if reply.ending not in ("ok", "unreached", "not_sent") and node is not None and node.stream:
             # it may have been given to us: the node's next hello tells, and shows what is not known here
--- a/curlewhall/front/peers.py
+++ b/curlewhall/front/peers.py
@@ -27,7 +27,7 @@
             return
         if index is not None and len(data) <= MOST:
             self.heard[index] = self.driver.clock.now()
-            self.driver.hear("told", index, data)
+            self.driver.dispatch("told", index, data)
 
     def error_received(self, exc) -> None:
         """A peer's port is closed: the message is lost, as messages may be."""
--- a/curlewhall/front/serve.py
+++ b/curlewhall/front/serve.py
@@ -19,11 +19,11 @@
 from curlewhall.moves import Mover
 from curlewhall.moves.run import Moves
 from curlewhall.recovery.form import NewerFormatError
-from curlewhall.recovery.run import Keeper
+from curlewhall.recovery.run import PlayStore
 from curlewhall.recovery.state import State
 from curlewhall.recovery.store import Files as StateFiles
 from curlewhall.recovery.store import Memory, Store, StoreLockedError
-from curlewhall.settings import rate_card
+from curlewhall.settings import start_settings
 from curlewhall.settings.front_pb2 import STRICT, FrontFile
 from curlewhall.settings.keys import read_keys
 from curlewhall.sites.decide import Sites
@@ -34,7 +34,7 @@
 from curlewhall.wire.server import Server, listen
 from curlewhall.wire.timers import Timers
 
-from .collector import calm_collector
+from .collector import tune_garbage_collector
 from .driver import Driver
 from .listing import Follower
 from .lists import Borrower, Lender
@@ -44,7 +44,7 @@
 from .viewers import Viewers
 
 POLICY = "curlewhall.policy:Front"
-LAST = 0.1  # seconds for who is on the way when the door is shut, and for requests and the last answers
+LAST = 0.1  # seconds for who is on the way when the listener is closed, and for requests and the last answers
 
 
 def policy(name: str) -> Callable:
@@ -100,15 +100,15 @@
         self.loop = asyncio.get_running_loop()
         self.timers = Timers(self.loop)
         boot = int.from_bytes(os.urandom(4), "big")
-        name, card = file.identity.name, rate_card(file)
+        name, settings = file.identity.name, start_settings(file)
         seed = file.identity.seed or boot
         self.driver = Driver(
             make or policy(POLICY),
             seed,
-            card,
+            settings,
             self.timers,
             log,
-            born=coming.born() if coming is not None else None,
+            started_at=coming.born() if coming is not None else None,
         )
         margin = file.limits.answer_margin_ms if file.limits.HasField("answer_margin_ms") else 100
         where = file.listen
@@ -175,7 +175,7 @@
                 self.follower.as_inventory,
             )
         self.driver.moves = Moves(
-            self.driver, self.timers, (mover or Mover)(self.driver.clock.now(), card, drain_within)
+            self.driver, self.timers, (mover or Mover)(self.driver.clock.now(), settings, drain_within)
         )
         self.server = self.console = None
         self.hurried, self.ready = False, asyncio.Event()
@@ -204,7 +204,7 @@
         strict = bool(file.state.folder) and file.state.durability == STRICT
         # a folder that is empty may be one whose files were lost: only without one is it surely a first start
         alone = not file.state.folder and self.coming is None
-        self.driver.keeper = Keeper(store, strict, self.driver.card, state, alone)
+        self.driver.play_store = PlayStore(store, strict, self.driver.start_settings, state, alone)
 
     def open_peers(self) -> None:
         """`OSError` where the address is taken."""
@@ -266,16 +266,16 @@
 
     def owes(self) -> bool:
         """Whether an answer is owed to somebody."""
-        return bool(self.driver.moves.between) or any(
-            not held.answered for held in self.driver.plays.values()
+        return bool(self.driver.moves.retrying) or any(
+            not active_play.answered for active_play in self.driver.plays.values()
         )
 
     def hurry(self) -> None:
         """Danger: a stop that is to be short must still answer. What is under way is failed and ended."""
         self.hurried = True
-        for held in list(self.driver.plays.values()):
-            if not held.answered:
-                self.driver.overdue(held)
+        for active_play in list(self.driver.plays.values()):
+            if not active_play.answered:
+                self.driver.deadline_passed(active_play)
 
     async def stop(self) -> None:
         """Take nothing new, answer what was taken, give to peers what plays, then close.
@@ -310,7 +310,7 @@
         if self.peers.members is not None:
             self.peers.members.close()
         self.close_peers()
-        self.driver.keeper.close()
+        self.driver.play_store.close()
 
 
 async def until_told(
@@ -321,7 +321,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         front.loop.add_signal_handler(number, told.set)
     await front.start()
-    calm_collector()
+    tune_garbage_collector()
     await told.wait()
     log.info("stopping")
     await front.stop()
--- a/curlewhall/front/viewers.py
+++ b/curlewhall/front/viewers.py
@@ -8,11 +8,11 @@
 
 from curlewhall.dash import manifest, tokens
 from curlewhall.errors import CurlewhallError
-from curlewhall.wire.forms import Facts, Title
+from curlewhall.wire.forms import PlayInfo, Title
 from curlewhall.wire.server import Exchange
 
 from . import problems
-from .driver import Driver, Held
+from .driver import ActivePlay, Driver
 from .parting import Taking
 
 SEGMENT = 1.0  # seconds; short segments let a changed rung be seen soon
@@ -35,10 +35,11 @@
         self.driver, self.front, self.key, self.life, self.margin = driver, front, key, life, margin
         self.boot, self.count = boot, 0
         self.titles: dict[str, Title] = {}
-        self.products = {p["name"]: (i, p) for i, p in enumerate(driver.card["products"])}
+        self.products = {p["name"]: (i, p) for i, p in enumerate(driver.start_settings["products"])}
         self.away: OrderedDict[str, str] = OrderedDict()  # play moved -> its viewer
-        self.successors: OrderedDict[str, Held] = OrderedDict()  # play moved -> what goes on with it
-        self.found: OrderedDict[tuple, list[Held]] = OrderedDict()  # (viewer, title, product) -> resumed
+        self.successors: OrderedDict[str, ActivePlay] = OrderedDict()  # play moved -> what goes on with it
+        # (viewer, title, product) -> resumed
+        self.found: OrderedDict[tuple, list[ActivePlay]] = OrderedDict()
         self.open, self.follower, self.taking, self.lender = True, None, Taking(self), None
 
     def handle(self, exchange: Exchange) -> None:
@@ -124,8 +125,8 @@
         viewer = given.get("viewer", "")
         if not 1 <= len(viewer) <= 128:
             raise RequestError("viewer: expected 1 to 128 characters")
-        card = self.driver.card
-        top = number(given, "top", len(card["specifics.rung_kb"]) - 1, 0, 1000)
+        start_settings = self.driver.start_settings
+        top = number(given, "top", len(start_settings["specifics.rung_kb"]) - 1, 0, 1000)
         limit = 10 * number(given, "limit_ms", terms["time_limit"] // 10, 1, terms["time_limit"] // 10)
         moved = given.get("moved", "")
         if moved and self.come_for(exchange, moved, viewer):
@@ -137,16 +138,16 @@
             return
         if terms["idempotency"] != "pure" and self.adopt(exchange, viewer, name, product):
             return
-        if self.driver.keeper.doubtful(viewer, name, product):
+        if self.driver.play_store.is_uncertain(viewer, name, product):
             problems.answer(exchange, 502, "An earlier set-up may have run; its node has not said yet")
             return
         self.count += 1
         now = self.driver.clock.now()
-        floor = card["specifics.floor_by_class"][index]
+        floor = start_settings["specifics.floor_by_class"][index]
         # The play's top can't lie under its product's floor: such a viewer can't be served within the terms.
         if top < floor:
             raise RequestError(f"top: found {top}, expected {floor} at least for {product}")
-        facts = Facts(
+        facts = PlayInfo(
             play=f"{self.front}-{self.boot:x}-{self.count:x}",
             number=0,
             product=product,
@@ -158,9 +159,11 @@
             floor=floor,
         )
         # The answer has a way to go, and what is sent at the limit comes after it.
-        held = Held(facts, title, exchange, now + max(0, limit - self.margin), now)
-        exchange.gone = lambda: self.driver.left(held)
-        self.driver.asked(held, again=given.get("again", "0") == "1" or bool(moved), moved=bool(moved))
+        active_play = ActivePlay(facts, title, exchange, now + max(0, limit - self.margin), now)
+        exchange.gone = lambda: self.driver.viewer_left(active_play)
+        self.driver.accept_request(
+            active_play, again=given.get("again", "0") == "1" or bool(moved), moved=bool(moved)
+        )
 
     def adopt(self, exchange: Exchange, viewer: str, title: str, product: str) -> bool:
         """Answer a viewer with the paid play that this front found at a node when it started anew.
@@ -168,18 +171,21 @@
         Danger: the process before was killed with the set-up done and the answer not yet given, or given and
         the viewer came again. A second set-up would be paid for twice.
         """
-        for held in self.found.pop((viewer, title, product), ()):
-            if held.playing is not None and self.driver.plays.get(held.facts.play) is held:
-                held.exchange = exchange
-                self.driver.log.info("adopted", play=held.facts.play, node=held.node)
-                self.play(held, held.playing + held.offset)
+        for active_play in self.found.pop((viewer, title, product), ()):
+            if (
+                active_play.playing_number is not None
+                and self.driver.plays.get(active_play.info.play) is active_play
+            ):
+                active_play.exchange = exchange
+                self.driver.log.info("adopted", play=active_play.info.play, node=active_play.node)
+                self.play(active_play, active_play.playing_number + active_play.number_offset)
                 return True
         return False
 
-    def resumed(self, held: Held) -> None:
+    def resumed(self, active_play: ActivePlay) -> None:
         """A play found at a node: its viewer may come for it."""
-        facts = held.facts
-        self.found.setdefault((facts.viewer, facts.title, facts.product), []).append(held)
+        facts = active_play.info
+        self.found.setdefault((facts.viewer, facts.title, facts.product), []).append(active_play)
         while len(self.found) > MOVED:
             self.found.popitem(last=False)
 
@@ -188,64 +194,69 @@
 
         It is not where nothing is known of one, or where the move came to nothing: then it asks like others.
         """
-        held = self.successors.get(old)
-        if held is None or held.facts.viewer != viewer:
+        active_play = self.successors.get(old)
+        if active_play is None or active_play.info.viewer != viewer:
             return False
         del self.successors[old]
-        if held.kept is not None:
-            if held.kept[0] != 200 or held.playing is None:
+        if active_play.stored_answer is not None:
+            if active_play.stored_answer[0] != 200 or active_play.playing_number is None:
                 return False  # it came to nothing, or is over
-            exchange.reply(*held.kept)
-            held.kept = None
+            exchange.reply(*active_play.stored_answer)
+            active_play.stored_answer = None
         else:
-            held.exchange = exchange
-            exchange.gone = lambda: self.driver.left(held)
+            active_play.exchange = exchange
+            exchange.gone = lambda: self.driver.viewer_left(active_play)
         return True
 
-    def next_facts(self, facts: Facts) -> Facts:
+    def next_facts(self, facts: PlayInfo) -> PlayInfo:
         """A moved play goes on under a new id, as a viewer that comes again does."""
         self.count += 1
         return msgspec.structs.replace(
             facts, play=f"{self.front}-{self.boot:x}-{self.count:x}", number=0, rung=facts.floor
         )
 
-    def expect(self, old: str, held: Held, before: Held) -> None:
-        """The viewer of `old` will come for the answer of `held`; it may have come to the try `before`."""
+    def expect(self, old: str, active_play: ActivePlay, before: ActivePlay) -> None:
+        """The viewer of `old` will come for the answer of `active_play`.
+
+        It may have come to the try `before`.
+        """
         if before.exchange is not None:
-            held.exchange, before.exchange = before.exchange, None
-            held.exchange.gone = lambda: self.driver.left(held)
+            active_play.exchange, before.exchange = before.exchange, None
+            active_play.exchange.gone = lambda: self.driver.viewer_left(active_play)
             return
-        self.successors[old] = held
+        self.successors[old] = active_play
         while len(self.successors) > MOVED:
             self.successors.popitem(last=False)
 
-    def give(self, held: Held, answer: tuple[int, dict[str, str], bytes]) -> None:
+    def give(self, active_play: ActivePlay, answer: tuple[int, dict[str, str], bytes]) -> None:
         """Answer the viewer, or keep the answer until it comes."""
-        exchange, held.exchange = held.exchange, None
+        exchange, active_play.exchange = active_play.exchange, None
         if exchange is not None:
             exchange.reply(*answer)
         else:
-            held.kept = answer
+            active_play.stored_answer = answer
 
-    def play(self, held: Held, number: int) -> None:
+    def play(self, active_play: ActivePlay, number: int) -> None:
         """The manifest: the play's node, its token, the rungs that it may use."""
-        card, facts = self.driver.card, held.facts
-        address = self.driver.nodes.address(held.node)
+        start_settings, facts = self.driver.start_settings, active_play.info
+        address = self.driver.nodes.address(active_play.node)
         index = self.products[facts.product][0]
-        scale, ladder = card["specifics.class_scale"][index], card["specifics.rung_kb"]
-        top = max(facts.floor, min(facts.top, card["specifics.highest_rung"][index], len(ladder) - 1))
-        session = tokens.Session(facts.play, number, held.node, self.front, facts.title, facts.product)
+        scale, ladder = start_settings["specifics.class_scale"][index], start_settings["specifics.rung_kb"]
+        top = max(
+            facts.floor, min(facts.top, start_settings["specifics.highest_rung"][index], len(ladder) - 1)
+        )
+        session = tokens.Session(facts.play, number, active_play.node, self.front, facts.title, facts.product)
         token = tokens.sign(session, self.key, time.time(), self.life)
         plan = manifest.Plan(
             f"http://{address}/s/{facts.play}/{number}/",
             token,
             [(rung, int(ladder[rung] * scale * 8000)) for rung in range(facts.floor, top + 1)],
             SEGMENT,
-            held.title.length_s,
+            active_play.title.length_s,
             location=self.location(facts),
         )
         self.give(
-            held,
+            active_play,
             (
                 200,
                 {
@@ -257,7 +268,7 @@
             ),
         )
 
-    def location(self, facts: Facts) -> str:
+    def location(self, facts: PlayInfo) -> str:
         """Where a player asks for the manifest anew, as it does when its node says that the play has gone."""
         query = {
             "product": facts.product,
@@ -269,14 +280,17 @@
         }
         return f"{self.url}/play/{quote(facts.title, safe='')}?{urlencode(query)}"
 
-    def decline(self, held: Held, away: int) -> None:
-        self.give(held, problems.document(503, "No holder of the title has room", away, play=held.facts.play))
+    def decline(self, active_play: ActivePlay, away: int) -> None:
+        self.give(
+            active_play,
+            problems.document(503, "No holder of the title has room", away, play=active_play.info.play),
+        )
 
-    def fail(self, held: Held, why: str) -> None:
-        self.give(held, problems.document(502, why, play=held.facts.play))
+    def fail(self, active_play: ActivePlay, why: str) -> None:
+        self.give(active_play, problems.document(502, why, play=active_play.info.play))
 
-    def moved(self, held: Held) -> None:
-        self.away[held.facts.play] = held.facts.viewer
+    def moved(self, active_play: ActivePlay) -> None:
+        self.away[active_play.info.play] = active_play.info.viewer
         while len(self.away) > MOVED:
             self.away.popitem(last=False)
 
@@ -286,8 +300,8 @@
             "front": self.front,
             "counts": driver.counts,
             "titles": len(self.titles),
-            "held": sum(held.playing is not None for held in driver.plays.values()),
-            "setting_up": sum(bool(held.out) for held in driver.plays.values()),
+            "held": sum(active_play.playing_number is not None for active_play in driver.plays.values()),
+            "setting_up": sum(bool(active_play.pending) for active_play in driver.plays.values()),
             **({"members": driver.peers.members.state()} if driver.peers.members is not None else {}),
             **({"list": self.follower.state()} if self.follower is not None else {}),
             **driver.sites.state(),
--- a/curlewhall/interface.py
+++ b/curlewhall/interface.py
@@ -12,7 +12,7 @@
 from typing import Any, Literal, NamedTuple, Protocol
 
 # What a front was told at start: a flat map of dotted names, such as "specifics.rung_kb", to values.
-RateCard = Mapping[str, Any]
+StartSettings = Mapping[str, Any]
 
 # How an allocation or a probe ended. "full", "unreached" and "not_sent" prove that nothing ran; "late" is a
 # time-out, "broken" a lost connection, "withdrawn" a move, a withdrawal or a viewer who left.
@@ -58,7 +58,7 @@
 class Front(Protocol):
     """One instance. It starts with no state and shares none; equal calls get equal answers."""
 
-    def __init__(self, now: int, seed: int, rate_card: RateCard) -> None:
+    def __init__(self, now: int, seed: int, start_settings: StartSettings) -> None:
         """Born at `now`, with the seed of its chance and what it is told at start."""
 
     def listed(
--- a/curlewhall/policy.py
+++ b/curlewhall/policy.py
@@ -1,8 +1,9 @@
 """All decisions of curlewhall: which playout node gets a play, at which rung, and when it is declined.
 
 Driven by one call for each thing that happens; calls and answers are typed and kept in
-`curlewhall/interface.py`. One `Front` is one instance: it knows its rate card and its calls, nothing else.
-Times are whole tenths of a millisecond. The design, and each departure from it, is told in `docs/design.md`.
+`curlewhall/interface.py`. One `Front` is one instance: it knows its start settings and its calls, nothing
+else. Times are whole tenths of a millisecond. The design, and each departure from it, is told in
+`docs/design.md`.
 """
 
 from bisect import bisect_right
@@ -82,25 +83,27 @@
 class Front:
     """One instance. A play passes `self.chain` forwards; the end of an allocation passes it backwards."""
 
-    def __init__(self, now, seed, rate_card):
-        self.card, self.seed, self.draws = rate_card, seed, 0
+    def __init__(self, now, seed, start_settings):
+        self.start_settings, self.seed, self.draws = start_settings, seed, 0
         terms = {"floor": "floor_by_class", "scale": "class_scale", "seats": "seats", "top": "highest_rung"}
         self.products = {
-            p["name"]: p | {t: rate_card[f"specifics.{name}"][i] for t, name in terms.items()}
-            for i, p in enumerate(rate_card["products"])
+            p["name"]: p | {t: start_settings[f"specifics.{name}"][i] for t, name in terms.items()}
+            for i, p in enumerate(start_settings["products"])
         }
         self.customers = {
-            c["name"]: (c["allowance_per_s"], Changes(5 * SECOND)) for c in rate_card["customers"]
+            c["name"]: (c["allowance_per_s"], Changes(5 * SECOND)) for c in start_settings["customers"]
         }
         self.least = min(p["importance"] for p in self.products.values())
-        self.ladder, self.fronts = rate_card["specifics.rung_kb"], max(1, rate_card["fronts"])
-        self.middle, worth = (len(self.ladder) - 1) // 2, rate_card["specifics.level_worth"]
+        self.ladder, self.fronts = start_settings["specifics.rung_kb"], max(1, start_settings["fronts"])
+        self.middle, worth = (len(self.ladder) - 1) // 2, start_settings["specifics.level_worth"]
         self.best = max(range(len(worth)), key=lambda r: worth[r] / self.ladder[r])  # worth most for its rate
         self.plays, self.nodes, self.racks, self.cells, self.wants = {}, {}, {}, {}, {}
-        kept = max(rate_card["rules.fall"], rate_card.get("rules.look_back", 0))
+        kept = max(start_settings["rules.fall"], start_settings.get("rules.look_back", 0))
         self.takes, self.further = Changes(kept), Changes(kept)  # for the budget of further allocations
         self.wakes, self.labels, self.average, self.turn, self.stages = {}, 0, (NEVER, 0), 0, {}
-        self.out = [("wake", self.chance(2 * SECOND), 0)] if rate_card["report.how"] == "on_probe" else []
+        self.out = (
+            [("wake", self.chance(2 * SECOND), 0)] if start_settings["report.how"] == "on_probe" else []
+        )
         self.changes, self.links, self.part, self.parts = Changes(10 * SECOND), 1, (NEVER, 1), {}
         self.chain = [
             (self.in_time, None),
@@ -147,18 +150,24 @@
     def arrange(self):
         """Racks, cells and links anew, when nodes come or change; those that go keep their place."""
         self.cells, racks = {}, {}
-        streams = dict(zip(self.card["kinds"], self.card["specifics.kind_streams"], strict=False))
+        streams = dict(
+            zip(self.start_settings["kinds"], self.start_settings["specifics.kind_streams"], strict=False)
+        )
         for node in self.nodes.values():
             # Danger: a list's weight of 0. A link of 1 kB a second holds no play, and can be divided by.
-            node.link = max(1, node.row.weight * self.card["specifics.link_unit_kb"])
+            node.link = max(1, node.row.weight * self.start_settings["specifics.link_unit_kb"])
             node.streams = streams.get(node.row.kind, min(streams.values(), default=1))
-            node.rack = self.racks.setdefault(node.row.place % max(1, self.card["specifics.shelves"]), Rack())
-            self.cells.setdefault(node.row.place % max(1, self.card["specifics.places"]), []).append(node)
+            node.rack = self.racks.setdefault(
+                node.row.place % max(1, self.start_settings["specifics.shelves"]), Rack()
+            )
+            self.cells.setdefault(
+                node.row.place % max(1, self.start_settings["specifics.places"]), []
+            ).append(node)
             racks.setdefault(node.rack, []).append(node)
         for rack, nodes in racks.items():
             rack.link = sum(n.link for n in nodes)
             for node in nodes:
-                node.share = max(1, self.card["specifics.uplink_kb"] * node.link / rack.link)
+                node.share = max(1, self.start_settings["specifics.uplink_kb"] * node.link / rack.link)
         self.links = sum(rack.link for rack in racks) or 1
 
     def asked(
@@ -230,7 +239,7 @@
         elif node in self.nodes and kind == "delivered":
             self.short(now, self.nodes[node], value)
         elif node in self.nodes:
-            self.hear(now, self.nodes[node], {kind: value}, now - self.card["specifics.told_late"])
+            self.hear(now, self.nodes[node], {kind: value}, now - self.start_settings["specifics.told_late"])
         return self.said()
 
     def probed(self, now, node, how, took, report):
@@ -299,16 +308,19 @@
         return PASS if ply.limit - now > 300 else self.decline(ply)
 
     def rationed(self, now, ply):
-        tried, share = len(ply.allocations), self.card.get("rules.extra_per_request")
+        tried, share = len(ply.allocations), self.start_settings.get("rules.extra_per_request")
         spent = ply.may_have_run and ply.product["idempotency"] != "pure"
-        if tried and (spent or tried >= self.card["permissions.max_allocations"]):
+        if tried and (spent or tried >= self.start_settings["permissions.max_allocations"]):
             return self.decline(ply)
         if tried and share is not None:
-            since = now - self.card["rules.look_back"]
+            since = now - self.start_settings["rules.look_back"]
             # Danger: the bench's window and this one may differ by a tick at either end, so the oldest
             # second of the takes is left out and one allocation is kept back.
             takes = self.takes.since(since + SECOND)
-            if self.further.since(since) + 1 > self.card.get("rules.spare_allocations", 0) + share * takes:
+            if (
+                self.further.since(since) + 1
+                > self.start_settings.get("rules.spare_allocations", 0) + share * takes
+            ):
                 return self.decline(ply)
         return PASS
 
@@ -362,9 +374,15 @@
 
     def warming(self, now, ply):
         """A node that may have started lately gets this front's share of most of the pace that it bears."""
-        warm, window = self.card["rules.warm_within"], self.card["rules.fall"]
+        warm, window = self.start_settings["rules.warm_within"], self.start_settings["rules.fall"]
         # Three quarters: set-ups differ in work. Half came to one in 3 s and declined plays for nothing.
-        pace = 0.75 * self.card["rules.overload_factor"] * self.card["rules.start_capacity"] * window / warm
+        pace = (
+            0.75
+            * self.start_settings["rules.overload_factor"]
+            * self.start_settings["rules.start_capacity"]
+            * window
+            / warm
+        )
         ply.nodes = [
             n
             for n in ply.nodes
@@ -380,7 +398,11 @@
         """How many plays of the whole fleet may come to a node in a window, two drawn of its holders."""
         # Danger: a title that all ask for, its other holders full, brings a hundred fronts to one node.
         # Counted by cell over 10 s, a front sees few; two plays that lie evenly added, one where more come.
-        cells, long, came = max(1, self.card["specifics.places"]), 10 * SECOND, self.takes.since(now - window)
+        cells, long, came = (
+            max(1, self.start_settings["specifics.places"]),
+            10 * SECOND,
+            self.takes.since(now - window),
+        )
         if not node.broken and (not node.row.started or now - node.row.started >= warm):
             return 2 * came / self.own_part(now) / len(self.nodes)  # new to this front alone: evenly
         seen, here = (
@@ -430,7 +452,7 @@
             and (now - n.heard_at <= 5 * SECOND or self.load(now, n) < part)
         ]
         # Crossing zones has a price: nodes of the own zone first, while one is under its full load.
-        near = [n for n in ply.nodes if n.row.zone == self.card["zone"] and self.load(now, n) < 1]
+        near = [n for n in ply.nodes if n.row.zone == self.start_settings["zone"] and self.load(now, n) < 1]
         ply.nodes = near or ply.nodes
         return PASS if ply.nodes else self.decline(ply)
 
@@ -443,7 +465,7 @@
         node = min(ply.pair, key=lambda n: self.load(now, n))
         # 3 s: asking for younger ones cost twice the probes and gained nothing; nor did asking both
         due = not ply.asked and now - node.heard_at > 3 * SECOND
-        if self.card["report.how"] == "on_probe" and due and self.pays(now):
+        if self.start_settings["report.how"] == "on_probe" and due and self.pays(now):
             ply.asked = True
             node.waiting.append(ply)
             self.probe(node)
@@ -459,7 +481,7 @@
         # Danger: hundreds of fronts that each ask for a single play pay more than they learn. 0.06: what a
         # report brought the play it was asked for, in plays, over six days of 200 fronts (0.00 to 0.07).
         share = self.takes.since(now - 3 * SECOND) / max(1, len(self.nodes))
-        return self.card.get("costs.probe", 0) <= 0.06 * max(1, share)
+        return self.start_settings.get("costs.probe", 0) <= 0.06 * max(1, share)
 
     def shaping(self, now, ply):
         """The rung rule: the highest rung that fits the room, the middle one where a report is missing."""
@@ -553,7 +575,9 @@
         if node.heard_at < old:
             return None
         if rack.heard_at >= old:
-            uplink = rack.heard * self.card["specifics.uplink_kb"] + self.since(now, rack, rack.heard_at)
+            uplink = rack.heard * self.start_settings["specifics.uplink_kb"] + self.since(
+                now, rack, rack.heard_at
+            )
         return node.heard * node.link + self.since(now, node, node.heard_at), uplink * node.link / rack.link
 
     def room(self, now, node, part=0.9):
@@ -583,7 +607,7 @@
         # what they lose first, as cover this front's part of the shortage.
         node.short_at = now if delivered < 0.98 else NEVER
         # The 2 s run from when a note could first tell of the last steps: notes tell of a time gone by.
-        if delivered >= 0.98 or now - node.eased_at < 2 * SECOND + self.card["specifics.told_late"]:
+        if delivered >= 0.98 or now - node.eased_at < 2 * SECOND + self.start_settings["specifics.told_late"]:
             return
         node.eased_at, surplus = now, float("inf")
         steps = [p for p in node.plays.values() if p.answered and p.rung > p.floor]
@@ -600,7 +624,7 @@
 
     def loss(self, ply, rung=None):
         """What a second is worth less at the next rung down; `drop` is the rate that it spares."""
-        worth, rung = self.card["specifics.level_worth"], ply.rung if rung is None else rung
+        worth, rung = self.start_settings["specifics.level_worth"], ply.rung if rung is None else rung
         return ply.product["importance"] * (worth[rung] - worth[rung - 1])
 
     def drop(self, ply):
@@ -646,7 +670,7 @@
     # ---- small helpers
 
     def take(self, now, play, product, customer, viewer, title, limit, first_place, places, top_rung):
-        count, terms = max(1, self.card["specifics.places"]), self.products[product]
+        count, terms = max(1, self.start_settings["specifics.places"]), self.products[product]
         cells = [(first_place + i) % count for i in range(min(places, count))]
         top = max(terms["floor"], min(top_rung, terms["top"], len(self.ladder) - 1))
         return self.plays.setdefault(play, Play(now, terms, play, customer, viewer, title, limit, cells, top))
@@ -662,12 +686,12 @@
     def patience(self, ply):
         """How long an allocation may take: all there is if it is the last or paid for, else 0.4 of the
         first-frame target, so that two silent nodes leave time for a third."""
-        last = len(ply.allocations) >= self.card["permissions.max_allocations"]
+        last = len(ply.allocations) >= self.start_settings["permissions.max_allocations"]
         alone = last or ply.product["idempotency"] != "pure"
         return ply.limit - ply.taken if alone else int(0.4 * ply.product["first_frame_target"])
 
     def probe(self, node):
-        if self.card["permissions.probes"] and not node.probe_out:
+        if self.start_settings["permissions.probes"] and not node.probe_out:
             node.probe_out = True
             self.out.append(("probe", node.id))
 
@@ -678,6 +702,10 @@
         if ply.may_have_run and ply.product["idempotency"] != "pure":
             self.out.append(("fail", ply.id))
         else:
-            away = self.card["permissions.max_retry_after"] if self.card["permissions.retry_after"] else 0
+            away = (
+                self.start_settings["permissions.max_retry_after"]
+                if self.start_settings["permissions.retry_after"]
+                else 0
+            )
             self.out.append(("decline", ply.id, away))
         return END
--- a/curlewhall/recovery/form.py
+++ b/curlewhall/recovery/form.py
@@ -39,7 +39,7 @@
 
 
 def check_head(data: bytes, kind: int) -> None:
-    """`NewerFormatError` for a later version, `CorruptDataError` for anything else that is not a head of that kind."""
+    """`NewerFormatError` for a later version, `CorruptDataError` for all else but a head of that kind."""
     if len(data) < HEAD.size:
         raise CorruptDataError("no head")
     magic, version, found, _ = HEAD.unpack_from(data)
--- a/curlewhall/recovery/store.py
+++ b/curlewhall/recovery/store.py
@@ -87,7 +87,10 @@
         return self.folder / f"{kind}-{generation:08}"
 
     def open(self) -> State:
-        """Own the folder and read it: the state of the process before. `StoreLockedError`, `form.NewerFormatError`, `OSError`."""
+        """Own the folder and read it: the state of the process before.
+
+        Raises `StoreLockedError`, `form.NewerFormatError` or `OSError`.
+        """
         self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
         self.lock = os.open(self.folder / "lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
--- a/curlewhall/relay/channel.py
+++ b/curlewhall/relay/channel.py
@@ -10,13 +10,13 @@
 from typing import Any
 
 from curlewhall.errors import CurlewhallError
-from curlewhall.front.driver import SECOND, Driver
+from curlewhall.front.driver import TICKS_PER_SECOND, Driver
 from curlewhall.interface import NodeRow
 from curlewhall.wire.client import Pool, Reply
 from curlewhall.wire.http import request_bytes
 
-from .card import address_of
 from .decide import Returns
+from .start_settings import address_of
 
 TRIES = 4  # asks in a row that come to nothing until the module is told that the list has failed
 MOST = 4 << 20  # bytes of one event: a whole list of thousands of nodes is half of that
@@ -114,8 +114,12 @@
         self.failing = self.closed = self.breaking = False
         self.doubted = -1  # the number after which something was wrong, and was asked for once more
         self.since = 0.0  # when the stream first told something; 0: not yet
-        card = driver.card
-        self.returns = Returns(seed, card.get("rules.drain_grace", 0) / SECOND, card.get("fronts", 1))
+        start_settings = driver.start_settings
+        self.returns = Returns(
+            seed,
+            start_settings.get("rules.drain_grace", 0) / TICKS_PER_SECOND,
+            start_settings.get("fronts", 1),
+        )
 
     def begin(self, known: dict[str, Any]) -> None:
         """Take what the configuration knows."""
@@ -132,7 +136,7 @@
             self.log.warning("lines of the list that can't be read", lines=wrong)
         whole = bool(nodes.get("complete")) and not wrong
         self.driver.nodes.listed(rows, whole)  # first: the module may allocate at once
-        self.driver.listed(how if whole else "changes", [row for row, _ in rows])
+        self.driver.update_nodes(how if whole else "changes", [row for row, _ in rows])
 
     def point(self, address: tuple[str, int]) -> None:
         """Ask here from now on; the numbers go on. Until this front's turn the old one is listened to."""
@@ -229,7 +233,7 @@
             self.silence.cancel()
         if self.tries >= TRIES and not self.failing:
             self.failing = True
-            self.driver.listed("failed", [])
+            self.driver.update_nodes("failed", [])
             self.log.warning("the channel is out of reach", how=reply.ending)
         self.tries += 1
         told_for = time.monotonic() - self.since if self.since else 0.0
--- a/curlewhall/relay/nodes.py
+++ b/curlewhall/relay/nodes.py
@@ -7,10 +7,10 @@
 import time
 
 from curlewhall.codecs import rtsp
-from curlewhall.front.driver import SECOND, Driver, Held
+from curlewhall.front.driver import TICKS_PER_SECOND, ActivePlay, Driver
 from curlewhall.interface import NodeRow
+from curlewhall.platform_names import parse_load_report
 from curlewhall.wire.transport import Transport, connect
-from curlewhall.words import report_of
 
 from .decide import Silences, WaysIn
 
@@ -40,7 +40,7 @@
     __slots__ = (
         "nodes",
         "node",
-        "held",
+        "active_play",
         "number",
         "connection",
         "state",
@@ -52,15 +52,23 @@
         "waited",
     )
 
-    def __init__(self, nodes: "Nodes", node: "Node", held: Held, number: int, span: float) -> None:
-        self.nodes, self.node, self.held, self.number, self.span = nodes, node, held, number, span
+    def __init__(
+        self, nodes: "Nodes", node: "Node", active_play: ActivePlay, number: int, span: float
+    ) -> None:
+        self.nodes, self.node, self.active_play, self.number, self.span = (
+            nodes,
+            node,
+            active_play,
+            number,
+            span,
+        )
         self.began, self.connection, self.state, self.tries = time.monotonic(), None, WAITING, 0
         self.stamp, self.waited = node.stamp, False
         self.limit = nodes.timers.after(span, self.stop, "late")
 
     @property
     def play(self) -> str:
-        return self.held.facts.play
+        return self.active_play.info.play
 
     def withdraw(self) -> None:
         """End it now; the node is told, and the driver, before this returns."""
@@ -86,8 +94,8 @@
             self.nodes.silences.doubt(self.node.row.zone, time.monotonic())
         if self.connection is not None:
             self.connection.released(self.play, sent and how != "ok")
-        self.nodes.driver.set_up_ended(
-            self.held, self.number, self.node.id, how, time.monotonic() - self.began, report
+        self.nodes.driver.allocation_ended(
+            self.active_play, self.number, self.node.id, how, time.monotonic() - self.began, report
         )
 
 
@@ -168,12 +176,12 @@
         self.driver, self.loop, self.timers, self.most, self.log = driver, loop, timers, most, log
         self.nodes: dict[str, Node] = {}
         self.connections: dict[Transport, Connection] = {}
-        self.connect_limit = driver.card["permissions.connect_timeout"] / SECOND
-        self.streams = max(1, int(driver.card.get("permissions.streams_per_conn", 1)))
+        self.connect_limit = driver.start_settings["permissions.connect_timeout"] / TICKS_PER_SECOND
+        self.streams = max(1, int(driver.start_settings.get("permissions.streams_per_conn", 1)))
         self.probes, self.seed = 0, seed & 0xFFFFFFFF
         self.closed = False
         self.silences = Silences(LOOK, SURE, self.connect_limit)
-        self.ways_in = WaysIn(seed, driver.card.get("fronts", 1))
+        self.ways_in = WaysIn(seed, driver.start_settings.get("fronts", 1))
         timers.after(LOOK, self.look)
 
     # ---- the list
@@ -355,7 +363,11 @@
     def look(self) -> None:
         """Connections long idle are closed before the node does it; silent nodes are reached anew."""
         now = time.monotonic()
-        idle = self.driver.card.get("permissions.idle_close", 15 * SECOND) / SECOND * 0.6
+        idle = (
+            self.driver.start_settings.get("permissions.idle_close", 15 * TICKS_PER_SECOND)
+            / TICKS_PER_SECOND
+            * 0.6
+        )
         for node in list(self.nodes.values()):
             for connection in [c for c in node.connections if c.transport.open]:
                 if connection.tired or (
@@ -377,12 +389,12 @@
 
     # ---- what is asked of a node
 
-    def set_up(self, held: Held, number: int, name: str, span: float) -> SetUp | None:
+    def set_up(self, active_play: ActivePlay, number: int, name: str, span: float) -> SetUp | None:
         """Ask a node to set a session up; None where it is not listed or the session is closed."""
         node = self.nodes.get(name)
-        if node is None or held.answered:
+        if node is None or active_play.answered:
             return None
-        set_up = SetUp(self, node, held, number, span)
+        set_up = SetUp(self, node, active_play, number, span)
         if set_up.play in node.ending:
             # Danger: an earlier set-up of the play was given up there. Its TEARDOWN, on another connection,
             # may come after this one and end it.
@@ -422,29 +434,29 @@
 
     def go(self, set_up: SetUp, connection: Connection) -> None:
         """Hand the set-up over."""
-        held, node = set_up.held, set_up.node
+        active_play, node = set_up.active_play, set_up.node
         # Danger: it may have waited for its connection. A drain told meanwhile, a process that has started
         # anew and is cold, or a viewer gone, stops it.
         if (
-            held.answered
-            or held.closed
+            active_play.answered
+            or active_play.closed
             or node.stamp != set_up.stamp
             or set_up.waited
-            and held.exchange.hung_up()
+            and active_play.exchange.hung_up()
         ):
             self.loop.call_soon(set_up.settle, "not_sent", {})
             return
         left = set_up.span - (time.monotonic() - set_up.began)
-        facts = held.facts
+        facts = active_play.info
         data = rtsp.request(
             "SETUP",
             facts.title,
             facts.play,
             1,
-            held.exchange.description,
+            active_play.exchange.description,
             Subject=facts.product,
             X_Patience=str(max(1, int(left * 1000))),
-            X_Rung=str(held.rung),
+            X_Rung=str(active_play.rung),
         )
         connection.used = time.monotonic()
         if connection.transport.send(data):
@@ -456,7 +468,7 @@
         self.end_told(
             set_up.node,
             play,
-            connection.transport.send(rtsp.request("TEARDOWN", set_up.held.facts.title, play, 2)),
+            connection.transport.send(rtsp.request("TEARDOWN", set_up.active_play.info.title, play, 2)),
         )
         connection.spent[play] = True
         if connection.heard < set_up.began:
@@ -513,7 +525,9 @@
         node = self.nodes.get(name)
         connection = node and self.pick_any(node)
         if connection is None:
-            self.loop.call_soon(self.driver.hear, "probed", name, "unreached" if node else "not_sent", 0, {})
+            self.loop.call_soon(
+                self.driver.dispatch, "probed", name, "unreached" if node else "not_sent", 0, {}
+            )
             return
         self.probes += 1
         session = f"{self.seed:08x}{self.probes & 0xFFFFFFFF:08x}"
@@ -536,8 +550,8 @@
     def probe_ended(self, connection: Connection, session: str, how: str, report: dict) -> None:
         began = connection.probes.pop(session, None)
         if began is not None:
-            took = int((time.monotonic() - began) * SECOND)
-            self.driver.hear("probed", connection.node.id, how, took, report)
+            took = int((time.monotonic() - began) * TICKS_PER_SECOND)
+            self.driver.dispatch("probed", connection.node.id, how, took, report)
 
     # ---- what a node says
 
@@ -599,7 +613,7 @@
                 set_up.settle("error", {})
                 self.cut(node, play)
                 return
-            set_up.held.exchange.answer = message.body
+            set_up.active_play.exchange.answer = message.body
             node.standing[play] = self.driver.clock.now()
             set_up.settle("ok", self.report(message))
         else:
@@ -612,11 +626,11 @@
         except ValueError:
             return
         if kind and play in node.standing:
-            self.driver.noted(play, node.id, kind, value)
+            self.driver.play_noted(play, node.id, kind, value)
 
     def report(self, message: rtsp.Message) -> dict[str, float]:
         try:
-            return report_of(message.fields.get("x-state", ""), ";")
+            return parse_load_report(message.fields.get("x-state", ""), ";")
         except ValueError:
             return {}
 
--- a/curlewhall/relay/absent.py
+++ b/curlewhall/relay/null_objects.py
@@ -1,4 +1,4 @@
-"""What this door does without: the mover's place is empty, and log lines for each message are not written."""
+"""What this front end does without: the mover's place is empty, no log lines for each message."""
 
 import contextlib
 import sys
@@ -9,18 +9,18 @@
 class NoMoves:
     """A front that moves no play."""
 
-    between = ()
+    retrying = ()
 
-    def playing(self, held) -> None: ...
+    def play_started(self, active_play) -> None: ...
 
-    def ended(self, play: str) -> None: ...
+    def play_ended(self, play: str) -> None: ...
 
-    def report(self, node: str, kind: str, value: float) -> None: ...
+    def node_reported(self, node: str, kind: str, value: float) -> None: ...
 
-    def declined(self, held) -> bool:
+    def move_declined(self, active_play) -> bool:
         return False
 
-    def lost(self, held, what: str) -> None: ...
+    def play_lost(self, active_play, what: str) -> None: ...
 
 
 class NoPeers:
--- a/curlewhall/relay/serve.py
+++ b/curlewhall/relay/serve.py
@@ -8,17 +8,17 @@
 import uvloop
 
 from curlewhall.errors import describe
-from curlewhall.front.collector import calm_collector
-from curlewhall.front.driver import SECOND, Driver
+from curlewhall.front.collector import tune_garbage_collector
+from curlewhall.front.driver import TICKS_PER_SECOND, Driver
 from curlewhall.policy import Front
 from curlewhall.wire.server import listen
 from curlewhall.wire.timers import Timers
 
-from . import card
-from .absent import Log, NoMoves, NoPeers
+from . import start_settings
 from .channel import Channel
 from .decide import Leaving
 from .nodes import Nodes
+from .null_objects import Log, NoMoves, NoPeers
 from .viewers import Viewers
 
 WINDING = 0.002  # seconds between two rounds over the connections that are left
@@ -29,17 +29,17 @@
 class Relay:
     """All parts of one front, within a running loop. `OSError` where its address is taken."""
 
-    def __init__(self, given: card.Given, log: Log) -> None:
+    def __init__(self, given: start_settings.Given, log: Log) -> None:
         self.log, self.loop = log, asyncio.get_running_loop()
         self.timers, self.over = Timers(self.loop), asyncio.Event()
         self.before: dict[str, int] = {}  # what was counted when this front was told to leave
         self.leaving, self.gone, self.rereading = None, False, None
         try:
-            self.driver = Driver(Front, given.seed, given.card, self.timers, log)
+            self.driver = Driver(Front, given.seed, given.start_settings, self.timers, log)
             self.viewers = Viewers(self.driver, self.loop, self.timers, given.viewers, log)
             self.nodes = Nodes(self.driver, self.loop, self.timers, given.nodes, log, given.seed)
         except (KeyError, IndexError, TypeError, ValueError, AttributeError) as err:
-            raise card.ConfigurationError(
+            raise start_settings.ConfigurationError(
                 f"the settings can't be used: {type(err).__name__}: {err}"
             ) from None
         self.driver.viewers, self.driver.nodes = self.viewers, self.nodes
@@ -59,8 +59,8 @@
             self.rereading.cancel()
             self.rereading = None
         try:
-            given = card.read(os.environ)
-        except card.ConfigurationError as err:
+            given = start_settings.read(os.environ)
+        except start_settings.ConfigurationError as err:
             if tries in (0, REREADS):
                 self.log.say(f"the old configuration is kept: {err.full_message}", tries=tries + 1)
             if tries < REREADS:
@@ -72,7 +72,9 @@
     def stop(self) -> None:
         """Take what still comes, answer what is owed, then leave."""
         if self.leaving is None:
-            self.leaving = Leaving(max(p["time_limit"] for p in self.driver.card["products"]) / SECOND)
+            self.leaving = Leaving(
+                max(p["time_limit"] for p in self.driver.start_settings["products"]) / TICKS_PER_SECOND
+            )
             self.viewers.ready = False
             self.before = dict(self.driver.counts)
             self.log.say("leaving", standing=len(self.driver.plays))
@@ -100,9 +102,9 @@
         """
         if self.gone:
             return
-        for held in list(self.driver.plays.values()):
-            if not held.answered:
-                self.driver.overdue(held)
+        for active_play in list(self.driver.plays.values()):
+            if not active_play.answered:
+                self.driver.deadline_passed(active_play)
         self.viewers.wind_down(last=True)
         self.left()
 
@@ -126,7 +128,7 @@
         self.viewers.close()
 
 
-async def until_told(given: card.Given, log: Log) -> None:
+async def until_told(given: start_settings.Given, log: Log) -> None:
     relay, early = None, []
 
     def told(number: int) -> None:
@@ -147,7 +149,8 @@
     for number in early:
         told(number)
     del given
-    calm_collector(5_000, 20)  # a small machine: rounds often enough that what is in cycles never adds up
+    # a small machine: rounds often enough that what is in cycles never adds up
+    tune_garbage_collector(5_000, 20)
     await relay.over.wait()
     relay.close()
 
@@ -155,9 +158,9 @@
 def main() -> int:
     """Serve until SIGTERM. 1, with one line on standard error, where the configuration can't be used."""
     try:
-        given = card.read(os.environ)
+        given = start_settings.read(os.environ)
         uvloop.run(until_told(given, Log()))
-    except (card.ConfigurationError, OSError) as err:
+    except (start_settings.ConfigurationError, OSError) as err:
         print(f"can't start: {describe(err)}", file=sys.stderr)
         return 1
     return 0
--- a/curlewhall/relay/card.py
+++ b/curlewhall/relay/start_settings.py
@@ -1,11 +1,11 @@
-"""What the platform tells a front at its start: variables, the configuration's JSON, the rate card."""
+"""What the platform tells a front at its start: variables, the configuration's JSON, the start settings."""
 
 import json
 from collections.abc import Mapping
 from typing import Any, NamedTuple
 
 from curlewhall.errors import CurlewhallError
-from curlewhall.words import card_of
+from curlewhall.platform_names import start_settings_of
 
 RESERVE = 24  # descriptors for the loop, the listener, the channel, the standard streams and what is closing
 NODES = 0.4  # of the rest; usual viewers hold a third of the limit at most, bad ones what they get
@@ -24,7 +24,7 @@
     address: tuple[str, int]
     channel: tuple[str, int]
     seed: int
-    card: dict[str, Any]
+    start_settings: dict[str, Any]
     known: dict[str, Any]
     viewers: int
     nodes: int
@@ -71,7 +71,7 @@
         address_of(variables.get("RELAY_LISTEN") or config.get("listen"), "RELAY_LISTEN"),
         address_of(config.get("channel"), "channel"),
         seed,
-        card_of(settings),
+        start_settings_of(settings),
         known,
         sockets - RESERVE - nodes,
         nodes,
--- a/curlewhall/relay/viewers.py
+++ b/curlewhall/relay/viewers.py
@@ -11,9 +11,9 @@
 
 from curlewhall.codecs import messages
 from curlewhall.errors import CurlewhallError
-from curlewhall.front.driver import Driver, Held
+from curlewhall.front.driver import ActivePlay, Driver
+from curlewhall.platform_names import to_tenths
 from curlewhall.wire.transport import Transport
-from curlewhall.words import tenths
 
 SILENT = 2.0  # seconds to a connection's first sound message, or for one half sent; 3 s are allowed from its
 # opening, and a look every LOOK seconds may come late on a busy core
@@ -24,7 +24,8 @@
 AHEAD = 64  # messages that may be read before those that came first are taken: a flood must not pile up
 SLOW = 8.0  # seconds in which a client takes nothing of what is written to it until it is closed all the same
 YOUNG = 0.25  # seconds in which a new client's first bytes come, many times the way
-AT_ONCE, SHUT = 64, 64  # connections accepted in one turn of the loop; such turns before the door is shut
+AT_ONCE = 64  # connections accepted in one turn of the loop
+SHUT = 64  # such turns before the listener is closed
 PATIENT = 10  # times a product's time limit: viewers wait no longer than it; beyond this it is no patience
 DECLINED, FAILED, WRONG = 42, 41, 100  # causes: congestion; temporary failure; invalid contents (ITU-T Q.850)
 TITLE = re.compile(rb"[0-9a-f]{16}")
@@ -38,7 +39,7 @@
     remedy = "Look at the client that sent it: its set-up breaks the protocol, and it was refused."
 
 
-class Facts(NamedTuple):
+class PlayInfo(NamedTuple):
     """What a set-up says of its play, with where the title is held."""
 
     play: str
@@ -54,15 +55,15 @@
 
 
 class Session:
-    """A play on the viewers' side, from its set-up until it is over: `Held.exchange` of the driver."""
+    """A play on the viewers' side, from its set-up until it is over: `ActivePlay.exchange` of the driver."""
 
-    __slots__ = ("id", "viewers", "connection", "description", "answer", "held", "stands")
+    __slots__ = ("id", "viewers", "connection", "description", "answer", "active_play", "stands")
 
     def __init__(
         self, name: str, viewers: "Viewers", connection: "Connection", description: bytes = b""
     ) -> None:
         self.id, self.viewers, self.connection, self.description = name, viewers, connection, description
-        self.answer, self.held, self.stands = b"", None, False
+        self.answer, self.active_play, self.stands = b"", None, False
 
     def hung_up(self) -> bool:
         """Whether its viewer has gone, though that was not taken yet: ended the connection, or gave up."""
@@ -107,12 +108,16 @@
 
     def __init__(self, driver: Driver, loop, timers, most: int, log) -> None:
         self.driver, self.loop, self.timers, self.most, self.log = driver, loop, timers, most, log
-        card = driver.card
-        floors = card["specifics.floor_by_class"]
+        start_settings = driver.start_settings
+        floors = start_settings["specifics.floor_by_class"]
         self.products = {
-            p["name"]: (floors[i], PATIENT * p["time_limit"]) for i, p in enumerate(card["products"])
+            p["name"]: (floors[i], PATIENT * p["time_limit"])
+            for i, p in enumerate(start_settings["products"])
         }
-        self.places, self.rungs = max(1, card["specifics.places"]), len(card["specifics.rung_kb"])
+        self.places, self.rungs = (
+            max(1, start_settings["specifics.places"]),
+            len(start_settings["specifics.rung_kb"]),
+        )
         self.connections: dict[Transport, Connection] = {}
         self.sessions: dict[str, Session] = {}
         self.waiting: OrderedDict[str, tuple[float, bytes]] = OrderedDict()  # releases without a connection
@@ -362,13 +367,13 @@
             return
         now = self.driver.clock.now()
         session = Session(name, self, connection, message.fields[messages.DESCRIPTION])
-        held = Held(facts, facts, session, now + limit, now)
-        session.held = held
+        active_play = ActivePlay(facts, facts, session, now + limit, now)
+        session.active_play = active_play
         self.sessions[name] = connection.open[name] = session
         moved = self.away.pop(facts.viewer, self) is None
-        self.driver.asked(held, figures.get("again") == "1", moved)
+        self.driver.accept_request(active_play, figures.get("again") == "1", moved)
 
-    def read(self, message: messages.Message) -> tuple[Facts, dict[str, str], int]:
+    def read(self, message: messages.Message) -> tuple[PlayInfo, dict[str, str], int]:
         """Facts, figures and patience of a set-up; `SetUpError` for what the module must not hear."""
         fields = message.fields
         missing = [
@@ -395,10 +400,12 @@
             raise SetUpError("figures out of range")
         patience = 0
         if "at" not in figures:
-            patience = tenths(self.figure(fields.get(messages.PATIENCE, b"").decode("latin-1"), "patience"))
+            patience = to_tenths(
+                self.figure(fields.get(messages.PATIENCE, b"").decode("latin-1"), "patience")
+            )
             if not 0 < patience <= product[1]:
                 raise SetUpError("a patience out of range")
-        facts = Facts(
+        facts = PlayInfo(
             message.session,
             fields[messages.PRODUCT].decode("latin-1"),
             figures["viewer"],
@@ -415,7 +422,7 @@
             raise SetUpError(f"{name} is no number")
         return int(text)
 
-    def resume(self, connection: Connection, facts: Facts, node: str) -> None:
+    def resume(self, connection: Connection, facts: PlayInfo, node: str) -> None:
         """A session that plays at its node already: adopted, without an answer."""
         session = Session(facts.play, self, connection)
         if not self.driver.nodes.adopt(facts.play, node):
@@ -423,24 +430,24 @@
             return
         session.stands = True
         self.sessions[facts.play] = connection.stands[facts.play] = session
-        self.driver.resumed(facts, facts, node)
+        self.driver.resume_play(facts, facts, node)
 
-    def resumed(self, held: Held) -> None:
+    def resumed(self, active_play: ActivePlay) -> None:
         """The driver has made the play of an adopted session."""
-        session = self.sessions.get(held.facts.play)
+        session = self.sessions.get(active_play.info.play)
         if session is not None:
-            session.held = held
+            session.active_play = active_play
 
     def give_up(self, session: Session) -> None:
         """The viewer waits no more: no answer is owed."""
         self.forget(session)
-        self.driver.left(session.held)
+        self.driver.viewer_left(session.active_play)
 
     def left(self, session: Session, cause: int) -> None:
         """The viewer ends a session that stands; it is owed no release."""
         self.forget(session)
-        held = session.held
-        self.driver.nodes.release(held.node, session.id, cause)
+        active_play = session.active_play
+        self.driver.nodes.release(active_play.node, session.id, cause)
         self.driver.play_ended(session.id, "withdrawn")
 
     def forget(self, session: Session) -> None:
@@ -452,8 +459,8 @@
 
     # ---- answers, as the driver tells them
 
-    def answer(self, held: Held, data: bytes) -> Session | None:
-        session = self.sessions.get(held.facts.play)
+    def answer(self, active_play: ActivePlay, data: bytes) -> Session | None:
+        session = self.sessions.get(active_play.info.play)
         if session is None or session.stands:
             return None
         connection = session.connection
@@ -463,9 +470,11 @@
             self.loop.call_soon(self.close_clear, connection)  # the play has yet to be put down as one here
         return session
 
-    def play(self, held: Held, number: int) -> None:
-        data = messages.message(messages.ANSWER, held.facts.play, description=held.exchange.answer)
-        session = self.answer(held, data)
+    def play(self, active_play: ActivePlay, number: int) -> None:
+        data = messages.message(
+            messages.ANSWER, active_play.info.play, description=active_play.exchange.answer
+        )
+        session = self.answer(active_play, data)
         if session is not None:
             session.stands, session.description, session.answer = True, b"", b""
             self.sessions[session.id] = session.connection.stands[session.id] = session
@@ -473,20 +482,22 @@
             self.usual.move_to_end(session.connection)
             self.flush(time.monotonic())
 
-    def decline(self, held: Held, away: int) -> None:
+    def decline(self, active_play: ActivePlay, away: int) -> None:
         values = {"cause": bytes((DECLINED,))}
         if away > 0:
             values["away"] = str(-(-away // 10)).encode()
-        self.answer(held, messages.message(messages.RELEASE, held.facts.play, **values))
+        self.answer(active_play, messages.message(messages.RELEASE, active_play.info.play, **values))
 
-    def fail(self, held: Held, why: str) -> None:
-        self.answer(held, messages.message(messages.RELEASE, held.facts.play, cause=bytes((FAILED,))))
+    def fail(self, active_play: ActivePlay, why: str) -> None:
+        self.answer(
+            active_play, messages.message(messages.RELEASE, active_play.info.play, cause=bytes((FAILED,)))
+        )
 
-    def moved(self, held: Held) -> None:
-        self.away[held.facts.viewer] = None
+    def moved(self, active_play: ActivePlay) -> None:
+        self.away[active_play.info.viewer] = None
         if len(self.away) > 1000:  # far more than come back at one time
             self.away.popitem(last=False)
-        session = self.sessions.get(held.facts.play)
+        session = self.sessions.get(active_play.info.play)
         if session is not None and session.connection is not None:
             # Danger: it may be over at its node already, and then a release is owed: the node's side tells.
             session.connection.transport.send(messages.message(messages.MOVE, session.id))
--- a/curlewhall/settings/card.py
+++ b/curlewhall/settings/start_settings.py
@@ -1,4 +1,4 @@
-"""The rate card: what the module is told at start, as a flat map, made of the operator's file.
+"""The start settings: what the module is told at start, as a flat map, made of the operator's file.
 
 Times become whole tenths of a millisecond; names are those that `curlewhall.policy` reads.
 """
@@ -11,11 +11,11 @@
 HOW = {front_pb2.ON_PROBE: "on_probe", front_pb2.INLINE: "inline", front_pb2.OFF: "off"}
 
 
-def rate_card(file: front_pb2.FrontFile) -> dict[str, Any]:
-    """The map for `Front(now, seed, rate_card)`; `file` has been checked."""
+def start_settings(file: front_pb2.FrontFile) -> dict[str, Any]:
+    """The map for `Front(now, seed, start_settings)`; `file` has been checked."""
     top = len(file.ladder.rung_kb) - 1
     may, rules, fleet = file.permissions, file.rules, file.fleet
-    card = {
+    settings = {
         "products": [
             {
                 "name": p.name,
@@ -54,9 +54,9 @@
         "rules.warm_within": 10 * rules.warm_within_ms,
     }
     if rules.HasField("look_back_ms"):
-        card |= {
+        settings |= {
             "rules.look_back": 10 * rules.look_back_ms,
             "rules.spare_allocations": rules.spare_allocations,
             "rules.extra_per_request": rules.extra_per_request,
         }
-    return card
+    return settings
--- a/curlewhall/simhost/host.py
+++ b/curlewhall/simhost/host.py
@@ -11,7 +11,7 @@
 
 from curlewhall.errors import CurlewhallError
 from curlewhall.interface import NodeRow
-from curlewhall.words import NOTES, card_of, report_of, tenths
+from curlewhall.platform_names import NOTE_KINDS, parse_load_report, start_settings_of, to_tenths
 
 ENDINGS = {
     "GOOD": "ok",
@@ -75,7 +75,7 @@
         pairs.get("shape", ""),
         state,
         float(pairs.get("power-hint", 1)),
-        tenths(pairs.get("came-up-ms", 0)),
+        to_tenths(pairs.get("came-up-ms", 0)),
     )
 
 
@@ -91,7 +91,7 @@
         "first_place": int(pairs.get("base", 0)),
         "places": int(pairs.get("copies", 0)),
         "top_rung": int(pairs.get("max-rung", 0)),
-        "length": None if guess is None else tenths(guess),
+        "length": None if guess is None else to_tenths(guess),
     }
 
 
@@ -118,7 +118,7 @@
                 if tag == "sync":
                     if serial is not None:
                         raise SimulatorMessageError("sync inside a batch")
-                    self.now, serial, self.reply = tenths(pairs["moment-ms"]), pairs["serial"], []
+                    self.now, serial, self.reply = to_tenths(pairs["moment-ms"]), pairs["serial"], []
                 elif serial is None:
                     raise SimulatorMessageError(f"{tag!r} outside a batch")
                 elif tag == "go":
@@ -159,8 +159,10 @@
         """Turn one event into one call and write down what is answered."""
         at, now = pairs["i"], self.now
         if tag == "born":
-            seed, card = int(pairs["rng-seed"]), json.loads(pairs["config"])
-            self.call(at, lambda: self.fronts.update({at: self.make(now, seed, card_of(card))}) or ())
+            seed, settings = int(pairs["rng-seed"]), json.loads(pairs["config"])
+            self.call(
+                at, lambda: self.fronts.update({at: self.make(now, seed, start_settings_of(settings))}) or ()
+            )
             return
         if tag == "power_off":
             self.fronts.pop(at, None)
@@ -181,7 +183,7 @@
                 at,
                 front.asked,
                 now,
-                limit=tenths(pairs["valid-until-ms"]),
+                limit=to_tenths(pairs["valid-until-ms"]),
                 moved=flag(pairs.get("was-moved", "0")),
                 again=flag(pairs.get("came-back", "0")),
                 **play_of(pairs),
@@ -196,7 +198,7 @@
                 pairs["ticket"],
                 int(pairs["trial"]),
                 pairs["node"],
-                tenths(pairs.get("lag-ms", 0)),
+                to_tenths(pairs.get("lag-ms", 0)),
             )
         elif tag == "answer":
             self.call(
@@ -208,11 +210,11 @@
                 pairs["node"],
                 ending_of(pairs["rc"]),
                 flag(pairs.get("final", "0")),
-                tenths(pairs.get("lag-ms", 0)),
-                report_of(pairs.get("report", ""), ","),
+                to_tenths(pairs.get("lag-ms", 0)),
+                parse_load_report(pairs.get("report", ""), ","),
             )
         elif tag == "progress":
-            kind = NOTES.get(int(pairs["topic"]))
+            kind = NOTE_KINDS.get(int(pairs["topic"]))
             if kind:
                 self.call(
                     at,
@@ -231,8 +233,8 @@
                 now,
                 pairs["node"],
                 ending_of(pairs["rc"]),
-                tenths(pairs.get("lag-ms", 0)),
-                report_of(pairs.get("report", ""), ","),
+                to_tenths(pairs.get("lag-ms", 0)),
+                parse_load_report(pairs.get("report", ""), ","),
             )
         elif tag == "message":
             self.call(at, front.told, now, int(pairs["by"]), octets(pairs.get("octets", "-")))
--- a/curlewhall/sites/run.py
+++ b/curlewhall/sites/run.py
@@ -11,8 +11,8 @@
 from curlewhall.members.form import MOST_ROWS, Row
 from curlewhall.wire import forms
 
-from .absent import NoSites
 from .decide import Sites
+from .null_objects import NoSites
 from .plan import HEARD, TICK, Place, Plan, Shedding
 from .state import LOST, WHOLE
 
@@ -38,33 +38,33 @@
     def __init__(self, front, index: int, seed: int, titles, make: Callable = Sites) -> None:
         self.driver, self.nodes, self.follower = front.driver, front.nodes, front.follower
         self.timers, self.log, self.peers, self.titles = front.timers, front.log, front.peers, titles
-        card = self.driver.card
-        self.racks = max(1, card["specifics.shelves"])
-        self.unit = card["specifics.link_unit_kb"]
+        start_settings = self.driver.start_settings
+        self.racks = max(1, start_settings["specifics.shelves"])
+        self.unit = start_settings["specifics.link_unit_kb"]
         members = self.peers.members
         self.sites = make(
             self.driver.clock.now(),
             index,
             members.members.members if members else (),
             seed,
-            card["rules.warm_within"],
+            start_settings["rules.warm_within"],
         )
         if members is not None:
             members.words = self.told
         self.plan = Plan(
-            {p["name"]: (p["importance"], p["idempotency"] != "pure") for p in card["products"]},
-            card["specifics.uplink_kb"],
-            card["specifics.places"],
+            {p["name"]: (p["importance"], p["idempotency"] != "pure") for p in start_settings["products"]},
+            start_settings["specifics.uplink_kb"],
+            start_settings["specifics.places"],
         )
-        ladder, worth = card["specifics.rung_kb"], card["specifics.level_worth"]
+        ladder, worth = start_settings["specifics.rung_kb"], start_settings["specifics.level_worth"]
         best = max(range(len(ladder)), key=lambda rung: worth[rung] / ladder[rung])
         self.rates = {
-            p["name"]: [rate * card["specifics.class_scale"][i] for rate in ladder]
-            for i, p in enumerate(card["products"])
+            p["name"]: [rate * start_settings["specifics.class_scale"][i] for rate in ladder]
+            for i, p in enumerate(start_settings["products"])
         }
         self.entry = {
-            p["name"]: self.rates[p["name"]][max(best, card["specifics.floor_by_class"][i])]
-            for i, p in enumerate(card["products"])
+            p["name"]: self.rates[p["name"]][max(best, start_settings["specifics.floor_by_class"][i])]
+            for i, p in enumerate(start_settings["products"])
         }
         self.shedding = Shedding(self.plan)
         self.reports: dict[str, tuple[float, int]] = {}  # node -> asked over given, when
@@ -82,7 +82,7 @@
     # ---- what happens
 
     @property
-    def hidden(self) -> set[str]:
+    def hidden_nodes(self) -> set[str]:
         return self.sites.hidden()
 
     def site(self, row) -> str:
@@ -92,7 +92,7 @@
         """
         return row.zone if len(self.zones) > 1 else f"rack {row.place % self.racks}"
 
-    def listed(self, rows, whole: bool) -> None:
+    def nodes_listed(self, rows, whole: bool) -> None:
         """Lines of the list as the front goes by them, before the module hears of them."""
         if whole:
             self.rows = {}
@@ -108,11 +108,11 @@
             self.plan.titles((title.first_place, title.places) for title in titles.values())
         self.carry(self.sites.listed(self.driver.clock.now(), lines, whole))
 
-    def set_up(self, node: str, how: str) -> None:
+    def allocation_result(self, node: str, how: str) -> None:
         if how in SHOWS:
-            self.heard(node, SHOWS[how])
+            self.node_contact(node, SHOWS[how])
 
-    def heard(self, node: str, how: str, lived: bool = False) -> None:
+    def node_contact(self, node: str, how: str, lived: bool = False) -> None:
         self.carry(self.sites.evidence(self.driver.clock.now(), node, how, lived))
 
     def told(self, sender: int, rows: tuple[Row, ...]) -> None:
@@ -124,14 +124,14 @@
         ]
         self.carry(self.sites.told(self.driver.clock.now(), sender, said))
 
-    def report(self, node: str, kind: str, value: float) -> None:
+    def node_reported(self, node: str, kind: str, value: float) -> None:
         if kind == "link_asked":
             self.reports[node] = max(0.0, value), self.driver.clock.now()
 
-    def declined(self, product: str) -> None:
+    def play_declined(self, product: str) -> None:
         self.shedding.declined(product)
 
-    def cold(self, row, started: int) -> int:
+    def effective_start(self, row, started: int) -> int:
         """When a node started, for the module: a node let in again is cold from then, whatever the list
         says.
         """
@@ -150,7 +150,7 @@
 
     def places(self) -> list[Place]:
         """The nodes that may have plays."""
-        now, hidden = self.driver.clock.now(), self.hidden
+        now, hidden = self.driver.clock.now(), self.hidden_nodes
         found = []
         for name, row in self.rows.items():
             if name in hidden or row.state != "serving":
@@ -186,11 +186,11 @@
         """What the plays held need at entry and use now. Danger: a walk over 100,000 of them would stop the
         loop; a round takes as many ticks as it needs.
         """
-        for held in islice(self.round, SLICE):
-            if held.playing is not None:
-                product = held.facts.product
+        for active_play in islice(self.round, SLICE):
+            if active_play.playing_number is not None:
+                product = active_play.info.product
                 self.needs[product] = self.needs.get(product, 0.0) + self.entry[product]
-                self.used += self.rates[product][held.rung]
+                self.used += self.rates[product][active_play.rung]
             self.left -= 1
         if self.left <= 0:
             self.plan.held(self.needs, self.used)
@@ -232,7 +232,7 @@
         if parts != self.thinned:
             self.thinned = parts
             if hasattr(self.driver.module, "thinned"):  # baselines know nothing of it
-                self.driver.hear("thinned", parts)
+                self.driver.dispatch("thinned", parts)
             self.log.info("refused for a lost site", parts=parts or "nothing any more")
 
     # ---- what is answered
--- a/curlewhall/standins/node.py
+++ b/curlewhall/standins/node.py
@@ -26,7 +26,7 @@
 
     __slots__ = ("facts", "front", "rate", "exchange", "timer", "playing", "asked_at", "segments")
 
-    def __init__(self, facts: forms.Facts, front: str, exchange: Exchange, now: float) -> None:
+    def __init__(self, facts: forms.PlayInfo, front: str, exchange: Exchange, now: float) -> None:
         self.facts, self.front, self.exchange, self.asked_at = facts, front, exchange, now
         self.rate, self.timer, self.playing, self.segments = 0.0, None, False, 0
 
--- a/curlewhall/wire/forms.py
+++ b/curlewhall/wire/forms.py
@@ -18,7 +18,7 @@
     remedy = "See that both sides run versions that know each other; what was unreadable is left out."
 
 
-class Facts(msgspec.Struct, frozen=True):
+class PlayInfo(msgspec.Struct, frozen=True):
     """What a node keeps of a play for the front that holds it, and gives back to one that starts anew."""
 
     play: str
@@ -36,7 +36,7 @@
     """POST /v1/plays: set a play up, within `span_ms`."""
 
     front: str
-    facts: Facts
+    facts: PlayInfo
     span_ms: float
 
 
@@ -69,7 +69,7 @@
     """POST /v1/offer, at a front: take over this play, which plays at `node`."""
 
     front: str
-    facts: Facts
+    facts: PlayInfo
     node: str
 
 
@@ -91,7 +91,7 @@
     value: float = 0.0
     how: str = ""
     node: str = ""
-    plays: list[Facts] = []
+    plays: list[PlayInfo] = []
 
 
 class Row(msgspec.Struct, frozen=True, omit_defaults=True):
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The one helper file: a small rate card, a front with four nodes, and short forms of the calls."""
+"""The one helper file: a small start settings, a front with four nodes, and short forms of the calls."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 SECOND = 10_000
 
 
-def card(**changes):
+def start_settings(**changes):
     product = {"time_limit": 3 * SECOND, "first_frame_target": SECOND}
     plain = {
         "products": [
@@ -57,7 +57,7 @@
 
     def __init__(self, **changes):
         self.now, self.count = 100 * SECOND, 0
-        self.front = Front(self.now, changes.pop("seed", 7), card(**changes))
+        self.front = Front(self.now, changes.pop("seed", 7), start_settings(**changes))
         self.list("old_copy", *[(f"n{i}", {}) for i in range(4)])
         self.now += 20 * SECOND  # all warm
 
--- a/tests/console/test_console.py
+++ b/tests/console/test_console.py
@@ -74,10 +74,10 @@
         assert (await place.get("/plays?page=3")).status == 404
         assert "Page 1 of" in await place.text("/plays?page=x")
         assert "1 found" in await place.text("/plays?q=v59")
-        held = next(iter(place.fronts[0].driver.plays.values()))
-        assert "1 found" in await place.text(f"/plays?q={held.facts.play}")
-        assert "0 found" in await place.text(f"/plays?node={held.node}&product=dear")
-        assert held.facts.viewer in await place.text(f"/plays/{held.facts.play}")
+        active_play = next(iter(place.fronts[0].driver.plays.values()))
+        assert "1 found" in await place.text(f"/plays?q={active_play.info.play}")
+        assert "0 found" in await place.text(f"/plays?node={active_play.node}&product=dear")
+        assert active_play.info.viewer in await place.text(f"/plays/{active_play.info.play}")
         assert (await place.get("/plays/nothing")).status == 404
 
 
@@ -193,7 +193,7 @@
                 (),
                 {"play": f"p{i}", "viewer": f"v{i % 100}", "title": "t", "product": "plain", "customer": "c"},
             )
-            yield type("H", (), {"facts": facts, "playing": 0, "node": f"n{i % 5}", "target": ""})
+            yield type("H", (), {"info": facts, "playing_number": 0, "node": f"n{i % 5}", "latest_node": ""})
 
 
 @pytest.mark.parametrize(
--- a/tests/daemon/test_handover.py
+++ b/tests/daemon/test_handover.py
@@ -77,7 +77,7 @@
         known = [node.cold_from for node in front.driver.module.nodes.values()]
         old = [node.cold_from for node in exchange.old.driver.module.nodes.values()]
         assert all(new <= before for new, before in zip(known, old, strict=True))  # none is taken for cold
-        assert len(front.driver.keeper.state.playing) == 6
+        assert len(front.driver.play_store.state.playing) == 6
         assert (await place.segment(plans[0][1], 2)).status == 200
         message, _ = await place.ask(viewer="later")
         assert message.status == 200
@@ -94,14 +94,14 @@
             asyncio.ensure_future(place.ask(viewer=f"v{i}", product="paid", title=f"clip-{i:02}"))
             for i in range(8)
         ]
-        await until(lambda: sum(bool(h.out) for h in place.fronts[0].driver.plays.values()) == 8)
+        await until(lambda: sum(bool(h.pending) for h in place.fronts[0].driver.plays.values()) == 8)
         exchange = await Exchange(place).begin().served()
-        assert len(exchange.new.driver.elsewhere) + len(exchange.new.driver.plays) == 8
+        assert len(exchange.new.driver.plays_at_predecessor) + len(exchange.new.driver.plays) == 8
         assert len(exchange.new.driver.module.plays) == 8  # each takes a seat already
         answers = await asyncio.gather(*asks)
         assert [message.status for message, _ in answers] == [200] * 8
         await exchange.end()
-        assert len(exchange.new.driver.plays) == 8 and not exchange.new.driver.elsewhere
+        assert len(exchange.new.driver.plays) == 8 and not exchange.new.driver.plays_at_predecessor
         assert len(place.rows("setup")) == 8
 
 
@@ -115,7 +115,9 @@
         await until(lambda: len(place.fronts[0].driver.plays) == 3)
         exchange = await Exchange(place).begin().served()
         assert {message.status for message, _ in await asyncio.gather(*asks)} == {502}
-        await until(lambda: not exchange.new.driver.module.plays and not exchange.new.driver.elsewhere)
+        await until(
+            lambda: not exchange.new.driver.module.plays and not exchange.new.driver.plays_at_predecessor
+        )
         await exchange.end()
 
 
@@ -178,7 +180,7 @@
         )
         message, _ = await place.ask(viewer="w", product="paid", title="clip-01")
         assert message.status == 200 and len(front.driver.plays) == 2
-        assert len(front.driver.keeper.state.out) == 2
+        assert len(front.driver.play_store.state.out) == 2
         assert (await place.segment(plan, 2)).status == 200
         again = await Exchange(place).begin().served()  # and a better successor takes over
         await again.end()
@@ -191,10 +193,10 @@
     async with town(tmp_path, TwoDrawn, nodes=4) as place:
         old = place.fronts[0]
         _, plan = await place.ask(product="paid")
-        (held,) = old.driver.plays.values()
+        (active_play,) = old.driver.plays.values()
         place.fault("slow", 0.3)
-        place.fault("drain", nodes=[held.node])
-        await until(lambda: any(h.moved_from and h.out for h in old.driver.plays.values()))
+        place.fault("drain", nodes=[active_play.node])
+        await until(lambda: any(h.moved_from and h.pending for h in old.driver.plays.values()))
         exchange = await Exchange(place, TwoDrawn).begin().served()
         if come == "after":
             await until(lambda: exchange.new.driver.plays)
@@ -218,7 +220,7 @@
         await two.begin().served()
         message, plan = await ask
         assert message.status == 200 and (await place.segment(plan)).status == 200
-        await until(lambda: len(two.new.driver.plays) == 1 and not two.new.driver.elsewhere)
+        await until(lambda: len(two.new.driver.plays) == 1 and not two.new.driver.plays_at_predecessor)
         await one.end()
         await two.end()
         assert (await place.ask(viewer="w"))[0].status == 200
@@ -228,14 +230,14 @@
 async def test_a_restart_with_the_budget_spent_brings_no_new_budget(tmp_path):
     async with town(tmp_path, nodes=3) as place:
         old = place.fronts[0]
-        old.driver.keeper.state.further.extend([old.driver.keeper.state.latest or 1] * 3)
+        old.driver.play_store.state.further.extend([old.driver.play_store.state.latest or 1] * 3)
         from curlewhall.recovery.run import unix_ms
         from curlewhall.recovery.state import Further
 
         for _ in range(3):
-            old.driver.keeper.store.add(Further(unix_ms()))
+            old.driver.play_store.store.add(Further(unix_ms()))
         exchange = await Exchange(place).begin().served()
-        assert not exchange.new.driver.keeper.may()
+        assert not exchange.new.driver.play_store.may_reallocate()
         await exchange.end()
 
 
@@ -249,7 +251,7 @@
             await place.ask(viewer="open")
             place.fault(*(("freeze_setups",) if hurried else ("slow", 0.3)))
             ask = asyncio.ensure_future(place.ask(viewer="w", product="paid"))
-            await until(lambda: any(h.out for h in front.driver.plays.values()))  # noqa: B023
+            await until(lambda: any(h.pending for h in front.driver.plays.values()))  # noqa: B023
             stop = asyncio.ensure_future(front.stop())
             await until(lambda: not front.viewers.open)  # noqa: B023
             message, problem = await place.ask(viewer="new")
--- a/tests/front/test_allocations.py
+++ b/tests/front/test_allocations.py
@@ -61,10 +61,10 @@
     async with town(tmp_path, nodes=6) as place:
         front = place.fronts[0]
         _, plan = await place.ask()
-        (held,) = front.driver.plays.values()
-        front.driver.moves.buffer(held.facts.play, 30.0)
+        (active_play,) = front.driver.plays.values()
+        front.driver.moves.buffer(active_play.info.play, 30.0)
         fill(place)
-        place.fault("drain", nodes=[held.node])
+        place.fault("drain", nodes=[active_play.node])
         await until(lambda: front.driver.counts["declined"] or front.driver.counts["failed"])
         refused = place.rows("refused")
         tries = {row["play"] for row in refused}
--- a/tests/front/test_driver.py
+++ b/tests/front/test_driver.py
@@ -6,8 +6,8 @@
 from loopback import looped
 
 from curlewhall import logs
-from curlewhall.front.driver import Driver, Held
-from curlewhall.wire.forms import Facts, Title
+from curlewhall.front.driver import ActivePlay, Driver
+from curlewhall.wire.forms import PlayInfo, Title
 from curlewhall.wire.timers import Timers
 
 
@@ -42,11 +42,11 @@
         log = logs.make("json", "error")
         self.driver = Driver(lambda *_: self.module, 1, {}, Timers(asyncio.get_running_loop()), log)
         self.driver.nodes, self.driver.viewers, self.driver.moves = self.nodes, self.viewers, Script()
-        self.nodes.says["set_up"] = lambda held, number, node, span: Out(
-            lambda how: self.driver.set_up_ended(held, number, node, how, 0.01, {})
+        self.nodes.says["set_up"] = lambda active_play, number, node, span: Out(
+            lambda how: self.driver.allocation_ended(active_play, number, node, how, 0.01, {})
         )
-        self.held = Held(
-            Facts("p", 0, "plain", "", "v", "t", 2, 0),
+        self.active_play = ActivePlay(
+            PlayInfo("p", 0, "plain", "", "v", "t", 2, 0),
             Title("t", 0, 3, 60),
             None,
             self.driver.clock.now() + limit * 10,
@@ -55,7 +55,7 @@
 
     def ask(self, *answers):
         self.module.says["asked"] = answers
-        self.driver.asked(self.held, again=False, moved=False)
+        self.driver.accept_request(self.active_play, again=False, moved=False)
 
 
 ALLOCATE = ("allocate", "p", "n", 1000)
@@ -79,7 +79,7 @@
     rig = Rig()
     rig.module.says["ended"] = [("decline", "p", 0)]
     rig.ask(ALLOCATE)
-    rig.driver.set_up_ended(rig.held, 0, "n", how, 0.1, {})
+    rig.driver.allocation_ended(rig.active_play, 0, "n", how, 0.1, {})
     assert rig.nodes.names().count("end") == ends and rig.viewers.names() == ["decline"]
     assert rig.module.calls[-1][2:7] == ("p", 0, "n", how, False) and not rig.driver.plays
 
@@ -88,10 +88,10 @@
 async def test_a_first_frame_is_one_answer_and_notes_follow_it():
     rig = Rig()
     rig.ask(ALLOCATE, ("rung", "p", 1))
-    rig.driver.set_up_ended(rig.held, 0, "n", "ok", 0.1, {"link_asked": 0.5, "uplink_asked": 0.2})
+    rig.driver.allocation_ended(rig.active_play, 0, "n", "ok", 0.1, {"link_asked": 0.5, "uplink_asked": 0.2})
     assert rig.module.names() == ["asked", "first_frame", "note", "note"] and rig.viewers.names() == ["play"]
     rig.module.says["note"] = [("rung", "p", 0), ("fail", "p"), ("decline", "p", 9)]
-    rig.driver.noted("p", "n", "delivered", 0.5)
+    rig.driver.play_noted("p", "n", "delivered", 0.5)
     assert rig.nodes.calls[-1] == ("set_rung", "n", "p", 0, 0) and rig.viewers.names() == ["play"]
     rig.driver.play_ended("p", "ok")
     rig.driver.play_ended("p", "ok")
@@ -103,7 +103,7 @@
     rig, heard = Rig(), []
     rig.viewers.says["play"] = lambda *_: heard.append(list(rig.module.names()))
     rig.ask(ALLOCATE)
-    rig.driver.set_up_ended(rig.held, 0, "n", "ok", 0.1, {})
+    rig.driver.allocation_ended(rig.active_play, 0, "n", "ok", 0.1, {})
     assert heard == [["asked"]] and rig.module.names() == ["asked", "first_frame"]
 
 
@@ -114,14 +114,14 @@
     while not rig.viewers.names():
         await asyncio.sleep(0.001)
     assert rig.viewers.names() == ["fail"] and rig.module.names() == ["asked", "left"]
-    assert rig.driver.clock.now() >= rig.held.limit and not rig.driver.plays
+    assert rig.driver.clock.now() >= rig.active_play.deadline and not rig.driver.plays
 
 
 @looped
 async def test_a_module_that_fails_costs_no_other_play():
     rig = Rig(limit=20)
     rig.module.says["asked"] = lambda *_: 1 / 0
-    rig.driver.asked(rig.held, again=False, moved=False)
+    rig.driver.accept_request(rig.active_play, again=False, moved=False)
     assert rig.driver.counts["faults"] == 1
     while not rig.viewers.names():
         await asyncio.sleep(0.001)
@@ -133,18 +133,18 @@
     rig = Rig()
     rig.peers = rig.driver.peers = Script()
     rig.peers.says["send"] = lambda *_: 1 / 0
-    rig.nodes.says["probe"] = lambda node: rig.driver.hear("probed", node, "ok", 0, {})
+    rig.nodes.says["probe"] = lambda node: rig.driver.dispatch("probed", node, "ok", 0, {})
     rig.ask(("probe", "n"), ("tell", None, b""), ALLOCATE)
     assert rig.nodes.names() == ["probe", "set_up"] and rig.driver.counts["faults"] == 1
-    assert rig.module.names() == ["asked", "probed"] and not rig.driver.inbox
+    assert rig.module.names() == ["asked", "probed"] and not rig.driver.queued_calls
 
 
 @looped
 async def test_a_viewer_who_left_gets_no_answer_and_its_allocation_ends():
     rig = Rig()
     rig.ask(ALLOCATE)
-    rig.driver.left(rig.held)
-    rig.driver.left(rig.held)
+    rig.driver.viewer_left(rig.active_play)
+    rig.driver.viewer_left(rig.active_play)
     assert rig.module.names() == ["asked", "left", "ended"] and rig.viewers.names() == []
     assert rig.module.calls[-1][5:7] == ("withdrawn", True) and not rig.driver.plays
 
@@ -154,8 +154,8 @@
     rig = Rig()
     rig.nodes.says["set_up"] = lambda *_: Script()  # its answer is already on its way
     rig.ask(ALLOCATE)
-    rig.driver.left(rig.held)
-    rig.driver.set_up_ended(rig.held, 0, "n", "ok", 0.1, {})
+    rig.driver.viewer_left(rig.active_play)
+    rig.driver.allocation_ended(rig.active_play, 0, "n", "ok", 0.1, {})
     assert rig.nodes.calls[-1] == ("end", "n", "p", 0, "withdrawn") and not rig.driver.plays
 
 
@@ -163,8 +163,8 @@
 async def test_a_moved_play_ends_at_its_node_and_may_come_again():
     rig = Rig()
     rig.ask(ALLOCATE)
-    rig.driver.set_up_ended(rig.held, 0, "n", "ok", 0.1, {})
+    rig.driver.allocation_ended(rig.active_play, 0, "n", "ok", 0.1, {})
     rig.module.says["note"] = [("move", "p")]
-    rig.driver.noted("p", "n", "delivered", 0.5)
+    rig.driver.play_noted("p", "n", "delivered", 0.5)
     assert rig.nodes.calls[-1] == ("end", "n", "p", 0, "moved") and rig.viewers.names() == ["play", "moved"]
     assert rig.module.calls[-1][5] == "withdrawn" and not rig.driver.plays
--- a/tests/front/test_front.py
+++ b/tests/front/test_front.py
@@ -254,16 +254,16 @@
 @looped
 async def test_a_node_that_restarts_while_its_first_frame_is_on_its_way_holds_no_play(tmp_path, monkeypatch):
     async with town(tmp_path, nodes=1) as place:
-        front, ended = place.fronts[0], Driver.set_up_ended
+        front, ended = place.fronts[0], Driver.allocation_ended
         node, held_back = front.nodes.nodes["n000"], []
-        monkeypatch.setattr(Driver, "set_up_ended", lambda *facts: held_back.append(facts))
+        monkeypatch.setattr(Driver, "allocation_ended", lambda *facts: held_back.append(facts))
         asking = asyncio.ensure_future(place.ask())
         await until(lambda: held_back)
         place.fault("die")
         place.fault("start")
         node.greeted = False
         await until(lambda: node.greeted)  # by the process after
-        monkeypatch.setattr(Driver, "set_up_ended", ended)
+        monkeypatch.setattr(Driver, "allocation_ended", ended)
         ended(*held_back[0])
         assert (await asking)[0].status == 200
         node.stream.withdraw()  # a stream that breaks, sooner or later, tells
@@ -334,11 +334,11 @@
     async with town(tmp_path, nodes=2) as place:
         front = place.fronts[0]
         await place.ask(title="clip-00")
-        (held,) = front.driver.plays.values()
-        old, follower = front.nodes.nodes[held.node], front.follower
-        change = msgspec.structs.replace(follower.rows[held.node], port=old.row.port + 1)
+        (active_play,) = front.driver.plays.values()
+        old, follower = front.nodes.nodes[active_play.node], front.follower
+        change = msgspec.structs.replace(follower.rows[active_play.node], port=old.row.port + 1)
         follower.line(Listing("changes", follower.version + 1, follower.version, [change]))
-        fresh = front.nodes.nodes[held.node]
+        fresh = front.nodes.nodes[active_play.node]
         assert fresh is not old and old.pool.closed and fresh.pool.port == change.port
         assert not front.driver.plays and front.driver.counts["ended"] == 1
 
@@ -442,7 +442,7 @@
         assert (await place.segment(plan)).status == 200
         play = next(iter(front.driver.plays))
         front.driver.module.out.append(("rung", play, 0))  # whatever the module answers next reaches the node
-        front.driver.hear("wake", -9)
+        front.driver.dispatch("wake", -9)
         await until(lambda: [row for row in place.rows("rung") if row["play"] == play])
 
 
@@ -508,7 +508,7 @@
 
     class Talker(TwoDrawn):
         def told(self, now, peer, body):
-            heard.append((self.card["own_index"], peer, body))
+            heard.append((self.start_settings["own_index"], peer, body))
             return ()
 
         def wake(self, now, label):
@@ -520,8 +520,8 @@
             asyncio.DatagramProtocol, local_addr=("127.0.0.1", 0)
         )
         stranger.sendto(b"forged", tuple(place.plan["relay"]["fronts"]["0"]))
-        other.driver.hear("wake", 257)  # too long: not sent
-        other.driver.hear("wake", 256)
+        other.driver.dispatch("wake", 257)  # too long: not sent
+        other.driver.dispatch("wake", 256)
         await until(lambda: heard)
         stranger.close()
         assert heard == [(0, 1, b"x" * 256)]
--- a/tests/front/test_front_crossings.py
+++ b/tests/front/test_front_crossings.py
@@ -25,7 +25,7 @@
     def __init__(self):
         self.waiting = []
 
-    def sending(self, held, number, node, paid, go):
+    def record_allocation(self, active_play, number, node, paid, go):
         self.waiting.append(go)
         return False
 
@@ -45,13 +45,13 @@
 
 MEANWHILE = {
     "nothing": lambda rig: None,
-    "a list that tells the same": lambda rig: rig.driver.listed("changes", [ROW]),
-    "hung up, and not read yet": lambda rig: setattr(rig.held.exchange, "ended", True),
-    "hung up": lambda rig: rig.driver.left(rig.held),
-    "the node drains": lambda rig: rig.driver.listed("changes", [ROW._replace(state="draining")]),
-    "the node is gone": lambda rig: rig.driver.listed("changes", [ROW._replace(state="gone")]),
-    "the node is missing": lambda rig: rig.driver.listed("whole", []),
-    "the node has started anew": lambda rig: rig.driver.listed("changes", [ROW._replace(started=5)]),
+    "a list that tells the same": lambda rig: rig.driver.update_nodes("changes", [ROW]),
+    "hung up, and not read yet": lambda rig: setattr(rig.active_play.exchange, "ended", True),
+    "hung up": lambda rig: rig.driver.viewer_left(rig.active_play),
+    "the node drains": lambda rig: rig.driver.update_nodes("changes", [ROW._replace(state="draining")]),
+    "the node is gone": lambda rig: rig.driver.update_nodes("changes", [ROW._replace(state="gone")]),
+    "the node is missing": lambda rig: rig.driver.update_nodes("whole", []),
+    "the node has started anew": lambda rig: rig.driver.update_nodes("changes", [ROW._replace(started=5)]),
 }
 
 
@@ -59,11 +59,11 @@
 @looped
 async def test_what_comes_while_an_allocation_waits_for_the_disk(meanwhile):
     rig = Rig(limit=3000)
-    rig.driver.keeper, rig.held.exchange = Disk(), Here()
-    rig.driver.listed("whole", [ROW])
+    rig.driver.play_store, rig.active_play.exchange = Disk(), Here()
+    rig.driver.update_nodes("whole", [ROW])
     rig.ask(ALLOCATE)
     MEANWHILE[meanwhile](rig)
-    for go in rig.driver.keeper.waiting:
+    for go in rig.driver.play_store.waiting:
         go(True)
     goes = meanwhile in ("nothing", "a list that tells the same")
     assert rig.nodes.names().count("set_up") == goes
@@ -100,7 +100,7 @@
         else:
             client.shutdown(socket.SHUT_WR)
         gate.set()
-        await until(lambda: not any(held.out for held in front.driver.plays.values()))
+        await until(lambda: not any(active_play.pending for active_play in front.driver.plays.values()))
         assert not place.rows("setup")
         client.close()
 
--- a/tests/front/test_moves.py
+++ b/tests/front/test_moves.py
@@ -70,10 +70,10 @@
         Shy.refusals = refusals
         front = place.fronts[0]
         _, plan = await place.ask()
-        (held,) = front.driver.plays.values()
-        front.driver.moves.buffer(held.facts.play, 3.0)
-        place.fault("drain", nodes=[held.node])
-        await until(lambda: front.driver.moves.between)
+        (active_play,) = front.driver.plays.values()
+        front.driver.moves.buffer(active_play.info.play, 3.0)
+        place.fault("drain", nodes=[active_play.node])
+        await until(lambda: front.driver.moves.retrying)
         if not early:
             await until(lambda: front.driver.counts["moved"])
         message = await follow(place, plan)  # early: the answer is waited for over all tries
@@ -83,7 +83,7 @@
             assert (await place.segment(manifest.read(message.body), 2)).status == 200
         else:
             assert front.driver.counts["declined"] == 1 and len(at(place)) == 1
-        assert not front.driver.moves.between
+        assert not front.driver.moves.retrying
 
 
 @looped
@@ -92,10 +92,10 @@
         Shy.refusals = 99
         front = place.fronts[0]
         _, plan = await place.ask()
-        (held,) = front.driver.plays.values()
-        front.driver.moves.buffer(held.facts.play, 30.0)
-        place.fault("drain", nodes=[held.node])
-        await until(lambda: front.driver.moves.between)
+        (active_play,) = front.driver.plays.values()
+        front.driver.moves.buffer(active_play.info.play, 30.0)
+        place.fault("drain", nodes=[active_play.node])
+        await until(lambda: front.driver.moves.retrying)
         ask = place.pool.ask(
             request_bytes("GET", "/" + plan.location.split("/", 3)[3], place.pool.host),
             20,
@@ -106,7 +106,7 @@
         )
         ask.withdraw()
         await until(lambda: not front.driver.moves.mover.seats and not front.driver.plays)
-        assert len(at(place)) == 1 and not front.driver.moves.between
+        assert len(at(place)) == 1 and not front.driver.moves.retrying
 
 
 @looped
@@ -114,7 +114,7 @@
     async with town(tmp_path, nodes=4) as place:
         _, plan = await place.ask(product="paid")
         module = place.fronts[0].driver.module
-        (held,) = place.fronts[0].driver.plays.values()
+        (active_play,) = place.fronts[0].driver.plays.values()
         now = place.fronts[0].driver.clock.now()
         before = (
             module.draws,
@@ -123,7 +123,7 @@
             [len(n.plays) for n in module.nodes.values()],
         )
         for count in (7, 0):  # every place, or none
-            found = module.has_room(now, held.facts.play, "paid", "", "v", "clip-00", 0, count, 3)
+            found = module.has_room(now, active_play.info.play, "paid", "", "v", "clip-00", 0, count, 3)
             assert found == bool(count)
         assert before == (
             module.draws,
@@ -131,7 +131,7 @@
             sorted(module.plays),
             [len(n.plays) for n in module.nodes.values()],
         )
-        assert module.plays[held.facts.play].title == "clip-00"
+        assert module.plays[active_play.info.play].title == "clip-00"
 
 
 @looped
@@ -190,7 +190,7 @@
             await place.ask(viewer=f"v{i}")
         first = max(set(at(place)), key=at(place).count)
         front = place.fronts[0]
-        here = sum(held.node == first for held in front.driver.plays.values())
+        here = sum(active_play.node == first for active_play in front.driver.plays.values())
         place.fault("drain", nodes=[first])
         await until(lambda: front.driver.counts["moved"] >= 1)
         place.fault("drain", 0, nodes=[first])
@@ -201,7 +201,7 @@
         await until(lambda: front.driver.counts["moved"] > there)
         await place.kill(front)
         front = await place.front(TwoDrawn)
-        await until(lambda: not any(held.node == first for held in front.driver.plays.values()))
+        await until(lambda: not any(active_play.node == first for active_play in front.driver.plays.values()))
         assert front.driver.counts["resumed"] and not front.driver.counts["failed"]
 
 
--- a/tests/front/test_parting.py
+++ b/tests/front/test_parting.py
@@ -41,10 +41,10 @@
         for plan in plans:
             assert (await place.segment(plan, 2)).status == 200
         # the new front moves a play: its viewer is told by the node where to ask
-        held = next(iter(peers[0].driver.plays.values()))
-        plan = next(plan for plan in plans if held.facts.play in plan.base)
-        place.fault("drain", nodes=[held.node])
-        await until(lambda: held.facts.play not in peers[0].driver.plays)
+        active_play = next(iter(peers[0].driver.plays.values()))
+        plan = next(plan for plan in plans if active_play.info.play in plan.base)
+        place.fault("drain", nodes=[active_play.node])
+        await until(lambda: active_play.info.play not in peers[0].driver.plays)
         gone = await place.segment(plan, 3)
         assert gone.status == 410 and gone.headers["location"].startswith(peers[0].viewers.url)
         where = urlsplit(gone.headers["location"])
@@ -86,12 +86,12 @@
 async def test_an_offer_is_taken_only_when_all_of_it_is_right(tmp_path, edit, status):
     async with town(tmp_path, TwoDrawn, nodes=3, fronts=2) as place:
         await place.ask()
-        (held,) = place.fronts[0].driver.plays.values()
+        (active_play,) = place.fronts[0].driver.plays.values()
         peer = await place.front(TwoDrawn, 1)
-        how = edit(held)
-        number = how.get("number", held.playing)
+        how = edit(active_play)
+        number = how.get("number", active_play.playing_number)
         facts = forms.msgspec.structs.replace(
-            held.facts, number=number, title=how.get("title", held.facts.title)
+            active_play.info, number=number, title=how.get("title", active_play.info.title)
         )
         session = tokens.Session(
             how.get("sub", facts.play),
@@ -102,10 +102,10 @@
             facts.product,
         )
         token = how.get("token", tokens.sign(session, how.get("key", b"k" * 32), time.time(), 10))
-        body = how.get("body", forms.encode(forms.Offer("front-0", facts, how.get("node", held.node))))
+        body = how.get("body", forms.encode(forms.Offer("front-0", facts, how.get("node", active_play.node))))
         message = await ask_front(place, 1, "POST", "/v1/offer", body, authorization=f"Bearer {token}")
         assert message.status == status
-        assert len(peer.driver.plays) == (status == 204) and not peer.driver.elsewhere
+        assert len(peer.driver.plays) == (status == 204) and not peer.driver.plays_at_predecessor
         assert len(peer.driver.module.plays) == (status == 204)
         # given twice: the second time it is this front's already
         again = await ask_front(place, 1, "POST", "/v1/offer", body, authorization=f"Bearer {token}")
@@ -119,7 +119,7 @@
         leaving = place.fronts[0]
         await place.ask(viewer="v")
         peers, offers, gate = [await place.front(TwoDrawn, index) for index in (1, 2)], [], asyncio.Event()
-        (held,) = leaving.driver.plays.values()
+        (active_play,) = leaving.driver.plays.values()
 
         async def later(taking, call, *facts):
             await gate.wait()
@@ -134,16 +134,16 @@
             )
         parting.LIMIT, limit = 0.2, parting.LIMIT
         try:
-            giving = asyncio.ensure_future(parting.Giving(leaving).one(held))
+            giving = asyncio.ensure_future(parting.Giving(leaving).one(active_play))
             await until(lambda: offers)
             await giving  # its patience is over
         finally:
             parting.LIMIT = limit
         gate.set()
-        holder = [peer for peer in peers if held.facts.play in peer.driver.elsewhere]
-        await until(lambda: not any(peer.driver.elsewhere for peer in peers))
+        holder = [peer for peer in peers if active_play.info.play in peer.driver.plays_at_predecessor]
+        await until(lambda: not any(peer.driver.plays_at_predecessor for peer in peers))
         assert len(offers) == len(holder) == 1
-        assert [held.facts.play in peer.driver.plays for peer in peers].count(True) == 1
+        assert [active_play.info.play in peer.driver.plays for peer in peers].count(True) == 1
         assert len(place.rows("setup")) == 1
 
 
--- a/tests/front/town.py
+++ b/tests/front/town.py
@@ -81,7 +81,7 @@
 
     async def kill(self, front):
         """As kill -9 would: every socket closed, nothing said; the port is free after it."""
-        front.driver.hear = lambda *facts, **named: None
+        front.driver.dispatch = lambda *facts, **named: None
         front.close()
         self.fronts.remove(front)
         await until(lambda: front.server.sock.fileno() < 0)
--- a/tests/moves/test_decide.py
+++ b/tests/moves/test_decide.py
@@ -9,7 +9,7 @@
 from curlewhall.moves.decide import BRIDGE, FRESH, MOST_OUT, SHORTEST, TRIES, Room
 
 S = 10_000
-CARD = {
+START_SETTINGS = {
     "specifics.places": 2,
     "specifics.uplink_kb": 20_000.0,
     "specifics.kind_streams": [40],
@@ -27,8 +27,8 @@
 class Rig:
     """A mover with four nodes of two racks; every title lies on both places."""
 
-    def __init__(self, now=100 * S, within=20 * S, **card):
-        self.now, self.mover = now, Mover(now, CARD | card, within)
+    def __init__(self, now=100 * S, within=20 * S, **start_settings):
+        self.now, self.mover = now, Mover(now, START_SETTINGS | start_settings, within)
         self.states, self.started, self.said = ["serving"] * NODES, [0] * NODES, []
         self.room = True  # whether the module would place any play
         self.list()
--- a/tests/recovery/test_kept.py
+++ b/tests/recovery/test_kept.py
@@ -55,7 +55,7 @@
     async with town(tmp_path, TwoDrawn, nodes=2, durability="strict") as place:
         for i in range(6):
             await place.ask(viewer=f"v{i}", product="paid", title=f"clip-0{i}")
-        await until(lambda: len(place.fronts[0].driver.keeper.state.playing) == 6)
+        await until(lambda: len(place.fronts[0].driver.play_store.state.playing) == 6)
         await place.kill(place.fronts[0])
         gone = place.fleet.nodes["n000"]
         for play in list(gone.plays.values()):
@@ -63,7 +63,7 @@
         front = await place.front(TwoDrawn)
         here = [row for row in place.rows("setup") if row["at"] == "node:n001"]
         await until(lambda: front.driver.counts["resumed"] == len(here))
-        await until(lambda: set(front.driver.keeper.state.out) == {row["play"] for row in here})
+        await until(lambda: set(front.driver.play_store.state.out) == {row["play"] for row in here})
 
 
 @looped
@@ -76,7 +76,7 @@
         await until(lambda: place.rows("setup"))
         front.nodes.nodes["n000"].stream.withdraw()
         await until(lambda: greeted)
-        assert set(front.driver.keeper.state.out) == set(front.driver.plays) != set()
+        assert set(front.driver.play_store.state.out) == set(front.driver.plays) != set()
         await asking
 
 
@@ -86,18 +86,18 @@
     async with town(tmp_path, TwoDrawn, nodes=4, durability="lagging") as place:
         for i in range(24):
             assert (await place.ask(viewer=f"v{i}", top=0))[0].status == 200
-        keeper = place.fronts[0].driver.keeper
-        await until(lambda: len(keeper.state.playing) == 24)
-        assert {out.node for out in keeper.state.out.values()} == set(place.fleet.nodes)
-        for out in list(keeper.state.out.values()):  # as if they had been set up long ago
-            keeper.store.add(msgspec.structs.replace(out, at=out.at - age))
-            keeper.store.add(Playing(out.play, out.number))
-        await until(lambda: not keeper.store.writing)
+        play_store = place.fronts[0].driver.play_store
+        await until(lambda: len(play_store.state.playing) == 24)
+        assert {out.node for out in play_store.state.out.values()} == set(place.fleet.nodes)
+        for out in list(play_store.state.out.values()):  # as if they had been set up long ago
+            play_store.store.add(msgspec.structs.replace(out, at=out.at - age))
+            play_store.store.add(Playing(out.play, out.number))
+        await until(lambda: not play_store.store.writing)
         await place.kill(place.fronts[0])
         front = await place.front()
         await until(lambda: front.driver.counts["resumed"] == 24)
         nodes, now = front.driver.module.nodes.values(), front.driver.clock.now()
-        ran = {now - node.cold_from >= front.driver.card["rules.warm_within"] for node in nodes}
+        ran = {now - node.cold_from >= front.driver.start_settings["rules.warm_within"] for node in nodes}
         assert ran == {bool(age)}
         answers = await asyncio.gather(*[place.ask(viewer=f"w{i}", top=0) for i in range(60)])
         assert not age or all(message.status == 200 for message, _ in answers)
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -18,7 +18,7 @@
 from curlewhall import logs
 from curlewhall.recovery import form
 from curlewhall.recovery.decide import LONGEST_DOUBT, Doubts, Window, ran_for
-from curlewhall.recovery.run import Keeper
+from curlewhall.recovery.run import PlayStore
 from curlewhall.recovery.state import Further, Out, Over, Playing, State, Took
 from curlewhall.recovery.store import Disk, Files, Store, StoreLockedError
 from curlewhall.wire.timers import Timers
@@ -350,13 +350,17 @@
     state.apply(Out("p", 0, "n", "v", "t", "paid", True, NOW))
     for _ in range(9):
         state.apply(Further(NOW))
-    card = {"rules.look_back": 100_000, "rules.spare_allocations": 3, "rules.extra_per_request": 0.1}
-    keeper = Keeper(type("Kept", (), {"add": lambda *facts: None}), True, card, state)
-    assert keeper.doubtful("v", "t", "paid") and not keeper.may()
+    start_settings = {
+        "rules.look_back": 100_000,
+        "rules.spare_allocations": 3,
+        "rules.extra_per_request": 0.1,
+    }
+    play_store = PlayStore(type("Kept", (), {"add": lambda *facts: None}), True, start_settings, state)
+    assert play_store.is_uncertain("v", "t", "paid") and not play_store.may_reallocate()
     wall[0] -= 3_600_000
-    assert keeper.doubtful("v", "t", "paid") and not keeper.may()
+    assert play_store.is_uncertain("v", "t", "paid") and not play_store.may_reallocate()
     steady[0] += LONGEST_DOUBT
-    assert not keeper.doubtful("v", "t", "paid") and keeper.may()
+    assert not play_store.is_uncertain("v", "t", "paid") and play_store.may_reallocate()
 
 
 def test_after_a_clock_set_back_across_a_restart_the_next_window_keeps_what_is_new(tmp_path):
--- a/tests/relay/test_crossings.py
+++ b/tests/relay/test_crossings.py
@@ -623,10 +623,10 @@
 async def test_a_node_that_is_another_once_its_connection_comes_up_gets_nothing(tmp_path, doors, told):
     """Of what was chosen before; one that has started anew may get what the module chose knowing of it."""
     async with town(tmp_path, nodes=("n0",)) as place:
-        client, ends, ended = Client(place), [], place.relay.driver.set_up_ended
-        place.relay.driver.set_up_ended = lambda held, number, node, how, *more: (
+        client, ends, ended = Client(place), [], place.relay.driver.allocation_ended
+        place.relay.driver.allocation_ended = lambda active_play, number, node, how, *more: (
             ends.append((number, how)),
-            ended(held, number, node, how, *more),
+            ended(active_play, number, node, how, *more),
         )
         client.ask(product="paid")
         await place.settle()
@@ -785,8 +785,8 @@
         (name,) = [n.id for n in relay.nodes.values() if n.connections]
         node = relay.nodes[name]
         (connection,) = node.connections
-        held = place.relay.driver.plays[served]
-        waiting = nodes.SetUp(relay, node, held, 9, 1.0)
+        active_play = place.relay.driver.plays[served]
+        waiting = nodes.SetUp(relay, node, active_play, 9, 1.0)
         connection.set_ups["e" * 16] = waiting  # written nowhere yet, as after a send that failed
         waiting.connection = connection
         place.relay.channel.command({"nodes": {"members": [place.platform.member(name, "gone")]}})
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -472,7 +472,7 @@
 def belief(place):
     """Sessions by node as driver, node side and module count them; attempts out as both count them."""
     driver = place.relay.driver
-    held = {play: h.node for play, h in driver.plays.items() if h.playing is not None}
+    held = {play: h.node for play, h in driver.plays.items() if h.playing_number is not None}
     there = {play: node.id for node in place.relay.nodes.nodes.values() for play in node.standing}
     books = {
         play: node.id
@@ -522,7 +522,7 @@
 
         await place.until(agrees)
         assert not platform.broken() and not relay.driver.counts["faults"]
-        assert not any(h.out for h in relay.driver.plays.values())
+        assert not any(h.pending for h in relay.driver.plays.values())
 
 
 @looped
@@ -556,7 +556,7 @@
             "waiting": relay.viewers.waiting,
             "plays": relay.driver.plays,
             "module": relay.driver.module.plays,
-            "held back": relay.driver.inbox,
+            "held back": relay.driver.queued_calls,
         }
         assert {name: len(table) for name, table in left.items()} == dict.fromkeys(left, 0)
         assert len(relay.nodes.connections) <= 4 * nodes.EACH and len(relay.timers) < 60
--- a/tests/relay/test_relay_process.py
+++ b/tests/relay/test_relay_process.py
@@ -14,7 +14,7 @@
 from relay.town import free_port, settings
 
 from curlewhall.codecs import messages
-from curlewhall.relay import card
+from curlewhall.relay import start_settings
 from curlewhall.standins.platform import Platform
 
 HEAVY = (
@@ -168,9 +168,9 @@
 def test_descriptors_are_divided_with_a_reserve(tmp_path, sockets):
     file = tmp_path / "config.json"
     file.write_text(json.dumps(config(limits={"sockets": sockets})))
-    given = card.read({"RELAY_CONFIG": str(file)})
-    assert given.viewers + given.nodes + card.RESERVE == sockets
-    assert given.nodes >= 16 and given.viewers >= (sockets - card.RESERVE) // 3
+    given = start_settings.read({"RELAY_CONFIG": str(file)})
+    assert given.viewers + given.nodes + start_settings.RESERVE == sockets
+    assert given.nodes >= 16 and given.viewers >= (sockets - start_settings.RESERVE) // 3
 
 
 @looped
--- a/tests/relay/town.py
+++ b/tests/relay/town.py
@@ -9,8 +9,8 @@
 from test_simhost import CONFIG
 
 from curlewhall.codecs import messages
-from curlewhall.relay import card
-from curlewhall.relay.absent import Log
+from curlewhall.relay import start_settings
+from curlewhall.relay.null_objects import Log
 from curlewhall.relay.serve import Relay
 from curlewhall.standins.platform import RST, Platform
 
@@ -137,7 +137,9 @@
         await self.platform.channel.start()
         self.port, self.file = free_port(), tmp_path / "config.json"
         self.file.write_text(json.dumps(self.config(self.port, sockets)))
-        given = card.read({"RELAY_CONFIG": str(self.file), "RELAY_LISTEN": f"127.0.0.1:{self.port}"})
+        given = start_settings.read(
+            {"RELAY_CONFIG": str(self.file), "RELAY_LISTEN": f"127.0.0.1:{self.port}"}
+        )
         self.relay = Relay(given, Log(self))
         if self.clock is not None:
             self.relay.driver.clock.source = self.clock
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from curlewhall.settings import SettingsError, load, parse, rate_card
+from curlewhall.settings import SettingsError, load, parse, start_settings
 
 
 @pytest.fixture
@@ -29,23 +29,27 @@
 
 
 def test_a_sound_file_becomes_the_rate_card_in_the_modules_words_and_tenths(sound):
-    card = rate_card(parse(sound))
-    assert card["products"][0] == {
+    settings = start_settings(parse(sound))
+    assert settings["products"][0] == {
         "name": "dear",
         "importance": 2.0,
         "idempotency": "side_effect",
         "first_frame_target": 10_000,
         "time_limit": 30_000,
     }
-    assert (card["specifics.floor_by_class"], card["specifics.highest_rung"]) == ([1, 0], [2, 2])
-    assert (card["rules.warm_within"], card["report.how"], card["fronts"]) == (120_000, "inline", 2)
-    assert "rules.look_back" not in card
+    assert (settings["specifics.floor_by_class"], settings["specifics.highest_rung"]) == ([1, 0], [2, 2])
+    assert (settings["rules.warm_within"], settings["report.how"], settings["fronts"]) == (
+        120_000,
+        "inline",
+        2,
+    )
+    assert "rules.look_back" not in settings
 
 
 def test_the_rate_card_starts_the_module(sound):
     from curlewhall.policy import Front
 
-    assert Front(0, 1, rate_card(parse(sound))).listed(0, "whole", []) == []
+    assert Front(0, 1, start_settings(parse(sound))).listed(0, "whole", []) == []
 
 
 @pytest.mark.parametrize(
--- a/tests/sites/test_sites_fleet.py
+++ b/tests/sites/test_sites_fleet.py
@@ -146,7 +146,7 @@
         for i in range(6):
             await place.ask(viewer=f"v{i}")
         driver, north = place.fronts[0].driver, place.at("north")
-        held = {play for play, h in driver.plays.items() if h.node in north and h.playing is not None}
+        held = {play for play, h in driver.plays.items() if h.node in north and h.playing_number is not None}
         assert held
         for way in ("link:*>site:north", "link:site:north>*"):
             place.fleet.fault(way, "cut", 1)
@@ -170,7 +170,7 @@
     try:
         watch, driver = place.watch(), place.fronts[0].driver
         await place.ask(product="dear")
-        held = next(h for h in driver.plays.values() if h.playing is not None)
+        held = next(h for h in driver.plays.values() if h.playing_number is not None)
         driver.plays = {f"p{i}": held for i in range(5000)}
         watch.round, watch.left = iter(()), 0
         told = []
--- a/tests/standins/test_links.py
+++ b/tests/standins/test_links.py
@@ -17,7 +17,7 @@
 from curlewhall.wire.timers import Timers
 
 BODY = b"x" * 4000
-FACTS = forms.Facts("p1", 0, "plain", "west", "v1", "clip", 3, 0)
+FACTS = forms.PlayInfo("p1", 0, "plain", "west", "v1", "clip", 3, 0)
 
 
 class Rig:
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -6,14 +6,14 @@
 from itertools import count
 
 import pytest
-from conftest import SECOND, card
+from conftest import SECOND, start_settings
 
 from curlewhall.interface import NodeRow
 from curlewhall.policy import Front
 
 START = 1000 * SECOND  # the moment at which the cold node has started
 LIVED = 8 * SECOND  # of the days below, from then on; less than any warm-up here
-FEW = {}  # N of the plain rate card: 1.07, under the number of fronts
+FEW = {}  # N of the plain start settings: 1.07, under the number of fronts
 SOME = {
     "streams": 20,
     "rules.overload_factor": 2.5,
@@ -53,7 +53,7 @@
         self.draw, self.started, self.sent = random.Random(seed), 0 if warm else START, 0
         self.queue, self.order, self.names = [], count(), count()
         terms |= {"fronts": fronts, "specifics.kind_streams": [streams], "specifics.places": nodes}
-        self.card = rules = card(**terms)
+        self.start_settings = rules = start_settings(**terms)
         self.nodes, self.full, self.titles, self.holders = nodes, full, titles, holders or min(3, nodes)
         self.window = rules["rules.fall"]
         self.bears = (
@@ -92,7 +92,7 @@
         ]
 
     def bear(self, now, i, seed):
-        self.fronts[i] = front = Front(now, 1000 * seed + i, self.card)
+        self.fronts[i] = front = Front(now, 1000 * seed + i, self.start_settings)
         front.listed(now, "old_copy", self.rows(now >= START))
 
     def hear(self, now, i):
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -3,7 +3,7 @@
 import pickle
 
 import pytest
-from conftest import SECOND, Bench, card, sent, verbs
+from conftest import SECOND, Bench, sent, start_settings, verbs
 
 from curlewhall.interface import NodeRow
 from curlewhall.policy import Front
@@ -93,7 +93,7 @@
 
 
 def test_without_nodes_and_after_all_are_gone_each_play_is_declined_once(bench):
-    front = Front(0, 1, card())
+    front = Front(0, 1, start_settings())
     said = front.asked(0, "p", "cheap", "", "v", "t", SECOND, 0, 4, 3, None, False, False)
     assert said == [("decline", "p", SECOND)] and not front.plays
     bench.list("whole")
@@ -133,7 +133,7 @@
         bench = Bench.__new__(Bench)
         bench.now, bench.count = at, 0
         bench.front = Front(
-            at, 7, card(**{"report.how": how}, customers=[{"name": "c", "allowance_per_s": 1.0}])
+            at, 7, start_settings(**{"report.how": how}, customers=[{"name": "c", "allowance_per_s": 1.0}])
         )
         said = [bench.list("whole", *[(f"n{i}", {}) for i in range(4)])]
         for step in (0, 0.3, 0.7, 4.2, 2, 9, 12, 86_400 * 9, 0, 1):
--- a/tests/test_floors.py
+++ b/tests/test_floors.py
@@ -8,7 +8,7 @@
 import curlewhall
 
 ROOT = Path(curlewhall.__file__).parent
-LOWEST = {"errors", "words"}
+LOWEST = {"errors", "platform_names"}
 
 
 def package(path: Path) -> str:
--- a/tests/test_rungs.py
+++ b/tests/test_rungs.py
@@ -243,7 +243,7 @@
     play, _ = bench.play(places=1)
     report(bench, 1.3, 0.5)
     assert len(bench.front.note(bench.now, play, 0, "n0", "delivered", 0.9)) == 1
-    bench.wait(after)  # the card's notes tell of a time 1 s gone by
+    bench.wait(after)  # the start settings' notes tell of a time 1 s gone by
     assert len(bench.front.note(bench.now, play, 0, "n0", "delivered", 0.9)) == steps
 
 
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -4,11 +4,11 @@
 import json
 
 import pytest
-from conftest import card
+from conftest import start_settings
 
+from curlewhall.platform_names import to_tenths
 from curlewhall.policy import Front
 from curlewhall.simhost.host import Host, SimulatorMessageError, millis
-from curlewhall.words import tenths
 
 CONFIG = json.dumps(
     {
@@ -108,7 +108,7 @@
         12.37, *BORN
     )
     assert seen["seed"] == 7 and seen["now"] == 123
-    for name, value in card().items():
+    for name, value in start_settings().items():
         if name not in ("products", "permissions.peer_messages"):
             assert seen[name] == value, name
     assert [p["time_limit"] for p in seen["products"]] == [30_000] * 3
@@ -254,4 +254,4 @@
     [("0", 0), ("1.25", 12), ("0.3", 3), ("2999.95", 29_999), ("99999999999.9", 999_999_999_999)],
 )
 def test_time_limits_never_grow_on_the_way(text, value):
-    assert tenths(text) == value and float(millis(value)) <= float(text)
+    assert to_tenths(text) == value and float(millis(value)) <= float(text)
