--- a/curlewhall/moves/decide.py
+++ b/curlewhall/moves/decide.py
@@ -88,7 +88,7 @@
 
 
 class Mover:
-    """One front's moves. `terms` is the start settings; `drain_within` the time that a drain may take."""
+    """One front's moves. `terms`: the start settings; `drain_within` the time that a drain may take."""
 
     def __init__(self, now: int, terms: dict, drain_within: int) -> None:
         self.terms, self.drain_within = terms, drain_within
--- a/curlewhall/moves/run.py
+++ b/curlewhall/moves/run.py
@@ -134,7 +134,7 @@
         self.carry(self.mover.looked(driver.clock.now(), play, room))
 
     def room(self, play: str, active_play) -> bool:
-        """Whether the module would place `active_play` once `play` has left its seat; asked without effect."""
+        """Whether the module would place `active_play` once `play` has left its seat; without effect."""
         ask, facts, title = getattr(self.driver.module, "has_room", None), active_play.info, active_play.title
         return ask is None or ask(  # baselines can't be asked
             self.driver.clock.now(),
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The one helper file: a small start settings, a front with four nodes, and short forms of the calls."""
+"""The one helper file: small start settings, a front with four nodes, and short forms of the calls."""
 
 import pytest
 
--- a/tests/console/test_console.py
+++ b/tests/console/test_console.py
@@ -6,7 +6,7 @@
 from urllib.parse import urlencode
 
 import pytest
-from front.town import Town, until
+from front.deployment import Deployment, until
 from loopback import Peer, looped
 
 from curlewhall.console import view
@@ -18,8 +18,8 @@
 PORT = 8600
 
 
-class Watched(Town):
-    """A town whose front has a console."""
+class Watched(Deployment):
+    """A deployment whose front has a console."""
 
     def __init__(self, folder, **more):
         super().__init__(folder, **more)
--- a/tests/daemon/test_handover.py
+++ b/tests/daemon/test_handover.py
@@ -6,8 +6,8 @@
 import socket
 
 import pytest
+from front.deployment import deployment, until
 from front.test_moves import follow
-from front.town import town, until
 from loopback import Peer, looped
 
 from curlewhall import logs
@@ -21,7 +21,7 @@
 
 
 class Exchange:
-    """A hand-over between a town's front and a successor in the same loop."""
+    """A hand-over between a deployment's front and a successor in the same loop."""
 
     def __init__(self, place, policy=None):
         self.place, self.policy, self.old = place, policy, place.fronts[0]
@@ -64,7 +64,7 @@
 @looped
 @pytest.mark.parametrize("durability", ["", "strict"])
 async def test_plays_go_on_with_the_successor_and_their_seats_and_state_too(tmp_path, durability):
-    async with town(tmp_path, nodes=4, durability=durability) as place:
+    async with deployment(tmp_path, nodes=4, durability=durability) as place:
         plans = [
             await place.ask(viewer=f"v{i}", product="paid" if i % 2 else "plain", title=f"clip-{i:02}")
             for i in range(6)
@@ -88,7 +88,7 @@
 
 @looped
 async def test_set_ups_in_flight_are_answered_by_the_old_front_and_held_by_the_new_one(tmp_path):
-    async with town(tmp_path, nodes=4) as place:
+    async with deployment(tmp_path, nodes=4) as place:
         place.fault("slow", 0.3)
         asks = [
             asyncio.ensure_future(place.ask(viewer=f"v{i}", product="paid", title=f"clip-{i:02}"))
@@ -107,7 +107,7 @@
 
 @looped
 async def test_set_ups_that_come_to_nothing_give_their_seats_back(tmp_path):
-    async with town(tmp_path, nodes=3) as place:
+    async with deployment(tmp_path, nodes=3) as place:
         place.fault("freeze_setups")
         asks = [
             asyncio.ensure_future(place.ask(viewer=f"v{i}", product="paid", limit_ms=600)) for i in range(3)
@@ -124,7 +124,7 @@
 @looped
 @pytest.mark.parametrize("count", [300])
 async def test_open_connections_go_over_with_the_bytes_of_their_next_request(tmp_path, count):
-    async with town(tmp_path, nodes=4) as place:
+    async with deployment(tmp_path, nodes=4) as place:
         where = place.plan["fronts"][0]
         state = f"GET /v1/state HTTP/1.1\r\nhost: {where['address']}\r\n\r\n".encode()
         peers = [await Peer.open(where["port"], where["address"]) for _ in range(count)]
@@ -157,7 +157,7 @@
 @looped
 @pytest.mark.parametrize("early", [True, False])
 async def test_a_successor_that_dies_before_it_serves_leaves_all_to_the_old_front(tmp_path, early):
-    async with town(tmp_path, nodes=4, durability="strict") as place:
+    async with deployment(tmp_path, nodes=4, durability="strict") as place:
         _, plan = await place.ask(product="paid")
         exchange = Exchange(place)
         if early:
@@ -190,7 +190,7 @@
 @looped
 @pytest.mark.parametrize("come", ["before", "after"])
 async def test_a_viewer_of_a_move_under_way_finds_its_answer_at_the_successor(tmp_path, come):
-    async with town(tmp_path, TwoDrawn, nodes=4) as place:
+    async with deployment(tmp_path, TwoDrawn, nodes=4) as place:
         old = place.fronts[0]
         _, plan = await place.ask(product="paid")
         (active_play,) = old.driver.plays.values()
@@ -209,7 +209,7 @@
 
 @looped
 async def test_hand_overs_in_a_chain_lose_nothing(tmp_path):
-    async with town(tmp_path, nodes=4) as place:
+    async with deployment(tmp_path, nodes=4) as place:
         place.fault("slow", 0.5)
         first = place.fronts[0]
         ask = asyncio.ensure_future(place.ask(product="paid"))
@@ -228,7 +228,7 @@
 
 @looped
 async def test_a_restart_with_the_budget_spent_brings_no_new_budget(tmp_path):
-    async with town(tmp_path, nodes=3) as place:
+    async with deployment(tmp_path, nodes=3) as place:
         old = place.fronts[0]
         old.driver.play_store.state.further.extend([old.driver.play_store.state.latest or 1] * 3)
         from curlewhall.recovery.run import unix_ms
@@ -246,7 +246,7 @@
     for hurried in (False, True):
         folder = tmp_path / str(hurried)
         folder.mkdir()
-        async with town(folder, nodes=3) as place:
+        async with deployment(folder, nodes=3) as place:
             front = place.fronts[0]
             await place.ask(viewer="open")
             place.fault(*(("freeze_setups",) if hurried else ("slow", 0.3)))
--- a/tests/front/town.py
+++ b/tests/front/deployment.py
@@ -1,4 +1,4 @@
-"""A small town for tests: stand-ins and fronts in one loop, met through their sockets."""
+"""A small deployment for tests: stand-ins and fronts in one loop, met through their sockets."""
 
 import asyncio
 import contextlib
@@ -22,7 +22,7 @@
         await asyncio.sleep(0.002)
 
 
-class Town:
+class Deployment:
     """Nodes, a list service, one front; every title lies on every node unless told otherwise."""
 
     def __init__(self, folder, nodes=3, fronts=1, **changes):
@@ -99,8 +99,8 @@
 
 
 @contextlib.asynccontextmanager
-async def town(folder, policy=None, old="", new="", **more):
-    place = Town(folder, **more)
+async def deployment(folder, policy=None, old="", new="", **more):
+    place = Deployment(folder, **more)
     try:
         yield await place.open(policy, old=old, new=new)
     finally:
--- a/tests/front/test_allocations.py
+++ b/tests/front/test_allocations.py
@@ -3,10 +3,10 @@
 """
 
 import pytest
-from front.town import town, until
+from front.deployment import deployment, until
 from loopback import looped
 
-MOST = 3  # permissions.max_allocations of the town's settings
+MOST = 3  # permissions.max_allocations of the deployment's settings
 
 
 def asked_of_nodes(place):
@@ -35,7 +35,7 @@
     ],
 )
 async def test_one_request(tmp_path, trouble, product, setups, refusals, status):
-    async with town(tmp_path, nodes=6) as place:
+    async with deployment(tmp_path, nodes=6) as place:
         place.plan["list_service"]["lag"] = [60, 60]  # the list does not help
         fill(place) if trouble == "full" else place.fault(trouble)
         message, _ = await place.ask(product=product, limit_ms=2500)
@@ -48,7 +48,7 @@
 @looped
 @pytest.mark.parametrize("returns", [0, 3])
 async def test_a_paid_viewer_that_comes_again_causes_one_more_each_time_and_only_by_asking(tmp_path, returns):
-    async with town(tmp_path, nodes=6) as place:
+    async with deployment(tmp_path, nodes=6) as place:
         place.fault("reset")
         for again in range(1 + returns):
             await place.ask(product="paid", viewer="one", again=int(again > 0))
@@ -58,7 +58,7 @@
 @looped
 async def test_a_move_whose_holders_are_all_full_and_say_so_late(tmp_path):
     """The tries of a move are plays of their own; together they last no longer than one time limit."""
-    async with town(tmp_path, nodes=6) as place:
+    async with deployment(tmp_path, nodes=6) as place:
         front = place.fronts[0]
         _, plan = await place.ask()
         (active_play,) = front.driver.plays.values()
--- a/tests/front/test_front.py
+++ b/tests/front/test_front.py
@@ -7,7 +7,7 @@
 
 import msgspec
 import pytest
-from front.town import Town, town, until
+from front.deployment import Deployment, deployment, until
 from loopback import Peer, looped
 
 from curlewhall import logs, policy
@@ -25,7 +25,7 @@
 
 @looped
 async def test_a_play_from_request_to_segments(tmp_path):
-    async with town(tmp_path) as place:
+    async with deployment(tmp_path) as place:
         message, plan = await place.ask(product="paid")
         assert message.headers["content-type"] == "application/dash+xml" and plan.rungs[0][0] == 1
         segment = await place.segment(plan)
@@ -37,7 +37,7 @@
 
 @looped
 async def test_a_token_is_good_for_its_play_on_its_node_in_its_time(tmp_path):
-    async with town(tmp_path) as place:
+    async with deployment(tmp_path) as place:
         _, plan = await place.ask()
         play, node = place.rows("setup")[0]["play"], place.rows("setup")[0]["at"][5:]
         sound = tokens.Session(play, 0, node, "front-0", "clip-00", "plain")
@@ -68,7 +68,7 @@
     ],
 )
 async def test_what_is_not_understood_is_a_problem_document_and_no_play(tmp_path, facts, status, words):
-    async with town(tmp_path) as place:
+    async with deployment(tmp_path) as place:
         message, problem = await place.ask(**facts)
         assert message.status == problem["status"] == status and words in problem["detail"]
         assert message.headers["content-type"] == "application/problem+json"
@@ -79,7 +79,7 @@
 async def test_a_paid_play_whose_node_freezes_after_accepting_gets_one_answer_in_time_and_no_second_set_up(
     tmp_path,
 ):
-    async with town(tmp_path) as place:
+    async with deployment(tmp_path) as place:
         place.fault("freeze_setups")
         began = time.monotonic()
         message, problem = await place.ask(product="paid", limit_ms=700)
@@ -107,7 +107,7 @@
     ],
 )
 async def test_only_a_refused_connection_lets_a_paid_play_go_on(tmp_path, fault, product, status, setups):
-    async with town(tmp_path, nodes=3) as place:
+    async with deployment(tmp_path, nodes=3) as place:
         place.plan["list_service"]["lag"] = [60, 60]  # the list does not help
         first = {}
 
@@ -131,7 +131,7 @@
 
 @looped
 async def test_a_late_answer_is_never_heard(tmp_path):
-    async with town(tmp_path, setup_ms=[450, 450]) as place:
+    async with deployment(tmp_path, setup_ms=[450, 450]) as place:
         # an answer takes 450 ms, an allocation may take 400: each node answers what nobody waits for
         message, problem = await place.ask(limit_ms=1200)
         assert message.status == 503 and len(place.rows("setup")) == 3
@@ -142,7 +142,7 @@
 
 @looped
 async def test_a_viewer_who_hangs_up_before_the_first_frame_leaves_nothing_behind(tmp_path):
-    async with town(tmp_path, setup_ms=[5000, 5000]) as place:
+    async with deployment(tmp_path, setup_ms=[5000, 5000]) as place:
         peer = await Peer.open(place.plan["fronts"][0]["port"], place.plan["fronts"][0]["address"])
         await peer.send(place.request())
         await until(lambda: place.rows("setup"))
@@ -155,7 +155,7 @@
 
 @looped
 async def test_a_node_gone_and_back_at_its_address_is_asked_over_a_fresh_connection(tmp_path):
-    async with town(tmp_path, nodes=1) as place:
+    async with deployment(tmp_path, nodes=1) as place:
         assert (await place.ask())[0].status == 200
         node = place.fronts[0].nodes.nodes["n000"]
         await until(lambda: node.pool.idle)
@@ -173,7 +173,7 @@
 
 @looped
 async def test_a_drain_told_while_the_connection_is_made_stops_the_set_up(tmp_path, monkeypatch):
-    async with town(tmp_path, TwoDrawn, nodes=2) as place:
+    async with deployment(tmp_path, TwoDrawn, nodes=2) as place:
         front, take, gate, waiting = place.fronts[0], Pool.take, asyncio.Event(), []
 
         async def slow(self):
@@ -235,7 +235,7 @@
 
 @looped
 async def test_a_hello_said_before_a_set_up_ends_no_play_of_it(tmp_path, request):
-    async with town(tmp_path, nodes=1) as place:
+    async with deployment(tmp_path, nodes=1) as place:
         front = place.fronts[0]
         late, node = request.getfixturevalue("late_hellos"), front.nodes.nodes["n000"]
         node.stream.withdraw()
@@ -253,7 +253,7 @@
 
 @looped
 async def test_a_node_that_restarts_while_its_first_frame_is_on_its_way_holds_no_play(tmp_path, monkeypatch):
-    async with town(tmp_path, nodes=1) as place:
+    async with deployment(tmp_path, nodes=1) as place:
         front, ended = place.fronts[0], Driver.allocation_ended
         node, held_back = front.nodes.nodes["n000"], []
         monkeypatch.setattr(Driver, "allocation_ended", lambda *facts: held_back.append(facts))
@@ -272,7 +272,7 @@
 
 @looped
 async def test_a_row_that_can_not_be_right_is_refused_and_a_known_nodes_drain_still_counts(tmp_path):
-    async with town(tmp_path, nodes=2) as place:
+    async with deployment(tmp_path, nodes=2) as place:
         front = place.fronts[0]
         rows, version = front.follower.rows, front.follower.version
         known = rows["n000"]
@@ -306,7 +306,7 @@
     [("", "ok"), ("stranger", "error"), ("garbage", "error"), ("freeze", "late"), ("die", "unreached")],
 )
 async def test_where_nodes_report_when_asked_only_their_probes_are_read(tmp_path, fault, how):
-    place, found = Town(tmp_path, nodes=2), {f"n00{i}": set() for i in range(3)}
+    place, found = Deployment(tmp_path, nodes=2), {f"n00{i}": set() for i in range(3)}
     place.plan["reports"]["how"] = "on_probe"
     place.plan["list_service"]["lag"] = [60, 60]  # the list does not help
 
@@ -331,7 +331,7 @@
 
 @looped
 async def test_a_node_whose_address_changes_is_met_at_the_new_one_and_its_old_plays_are_over(tmp_path):
-    async with town(tmp_path, nodes=2) as place:
+    async with deployment(tmp_path, nodes=2) as place:
         front = place.fronts[0]
         await place.ask(title="clip-00")
         (active_play,) = front.driver.plays.values()
@@ -345,7 +345,7 @@
 
 @looped
 async def test_nodes_that_are_replaced_for_as_long_as_a_front_runs_are_let_go(tmp_path):
-    async with town(tmp_path, nodes=1) as place:
+    async with deployment(tmp_path, nodes=1) as place:
         front = place.fronts[0]
         follower, mover, row = front.follower, front.driver.moves.mover, front.follower.rows["n000"]
         clock, ahead = front.driver.clock, [0]
@@ -379,7 +379,7 @@
     [(b"{not a list\n", "the list is malformed"), (b'{"how":"changes","version":99,"since":98}\n', "a gap")],
 )
 async def test_a_list_that_can_not_be_read_or_lacks_something_is_asked_for_anew(tmp_path, said, words):
-    async with town(tmp_path) as place:
+    async with deployment(tmp_path) as place:
         front = place.fronts[0]
         follower, before = front.follower, front.follower.stream
         follower.told(type("Head", (), {"status": 200}), said)
@@ -390,7 +390,7 @@
 @looped
 @pytest.mark.parametrize("kept", [b"", b"[]", b'{"how":"whole","rows":7}', None])
 async def test_a_kept_list_is_believed_until_the_service_speaks_and_a_damaged_one_is_told(tmp_path, kept):
-    async with town(tmp_path) as place:
+    async with deployment(tmp_path) as place:
         file = parse(settings(place.plan, 0))
         name = Path(file.list_service.kept_file)
         await until(name.exists)
@@ -416,7 +416,7 @@
         free.wait(20)
         written.append(msgspec.json.decode(data)["version"])
 
-    async with town(tmp_path) as place:
+    async with deployment(tmp_path) as place:
         front = place.fronts[0]
         follower, row = front.follower, next(iter(front.follower.rows.values()))
         await until(lambda: follower.keeping is None)
@@ -433,7 +433,7 @@
 
 @looped
 async def test_plays_of_a_killed_front_are_resumed_by_the_next_one_on_its_port(tmp_path):
-    async with town(tmp_path) as place:
+    async with deployment(tmp_path) as place:
         _, plan = await place.ask(viewer="one")
         await place.ask(viewer="two")
         await place.kill(place.fronts[0])
@@ -451,7 +451,7 @@
 async def test_a_paid_play_found_after_a_kill_is_given_to_its_viewer_not_paid_twice(
     tmp_path, product, setups
 ):
-    async with town(tmp_path) as place:
+    async with deployment(tmp_path) as place:
         await place.ask(product=product, viewer="one")  # set up; the front dies before the answer is used
         await place.kill(place.fronts[0])
         front = await place.front()
@@ -470,7 +470,7 @@
     patient = {"old": "permissions {", "new": "permissions {\n  connect_time_limit_ms: 20000"}
     products = make_plan(1, 3, 1, 10, tmp_path)["products"]
     patient["products"] = [product | {"target_ms": 50_000, "limit_ms": 60_000} for product in products]
-    async with town(tmp_path, TwoDrawn, **patient) as place:
+    async with deployment(tmp_path, TwoDrawn, **patient) as place:
         replies = await asyncio.gather(
             *[place.pool.fetch(place.request(viewer=f"v{i}", limit_ms=50_000), 25) for i in range(200)]
         )
@@ -482,7 +482,7 @@
 
 @looped
 async def test_the_list_goes_and_comes_back_and_a_gap_is_closed_by_a_whole_list(tmp_path):
-    async with town(tmp_path) as place:
+    async with deployment(tmp_path) as place:
         heard = []
         driver, follower = place.fronts[0].driver, place.fronts[0].follower
         driver.module.listed, inner = (
@@ -514,7 +514,7 @@
         def wake(self, now, label):
             return [("tell", None, b"x" * label)]
 
-    async with town(tmp_path, Talker, fronts=2) as place:
+    async with deployment(tmp_path, Talker, fronts=2) as place:
         other = await place.front(Talker, index=1)
         stranger, _ = await asyncio.get_running_loop().create_datagram_endpoint(
             asyncio.DatagramProtocol, local_addr=("127.0.0.1", 0)
--- a/tests/front/test_front_crossings.py
+++ b/tests/front/test_front_crossings.py
@@ -6,8 +6,8 @@
 
 import msgspec
 import pytest
+from front.deployment import deployment, until
 from front.test_driver import ALLOCATE, Rig
-from front.town import town, until
 from loopback import looped
 
 from curlewhall.drills.baselines import TwoDrawn
@@ -20,7 +20,7 @@
 
 
 class Disk:
-    """A keeper whose disk takes its time."""
+    """A play store whose disk takes its time."""
 
     def __init__(self):
         self.waiting = []
@@ -77,7 +77,7 @@
 @looped
 async def test_what_comes_while_a_set_up_waits_for_its_connection(tmp_path, monkeypatch, meanwhile):
     """The client's end lies in its socket, unread, as the connection comes up."""
-    async with town(tmp_path, TwoDrawn, nodes=1) as place:
+    async with deployment(tmp_path, TwoDrawn, nodes=1) as place:
         front, take, gate, waiting = place.fronts[0], Pool.take, asyncio.Event(), []
         (node,) = front.nodes.nodes.values()
 
--- a/tests/front/test_front_process.py
+++ b/tests/front/test_front_process.py
@@ -8,7 +8,7 @@
 from urllib.parse import urlencode
 
 import pytest
-from front.town import Town, until
+from front.deployment import Deployment, until
 from loopback import Crowd, looped
 
 from curlewhall.drills.fleet import settings
@@ -27,7 +27,7 @@
     """Three times as many as there are descriptors, and they come again as the list comes back: it is
     followed, nodes are reached, and viewers are served all the while.
     """
-    place = Town(tmp_path)
+    place = Deployment(tmp_path)
     place.plan["rules"]["warm_within"] = 0.01  # no node counts as cold for long
     place.plan["rung_kb"] = [kb // 20 for kb in place.plan["rung_kb"]]  # all that ask find room
     place.fleet = fleet = Fleet(place.plan)
--- a/tests/front/test_moves.py
+++ b/tests/front/test_moves.py
@@ -5,7 +5,7 @@
 import sys
 
 import pytest
-from front.town import town, until
+from front.deployment import deployment, until
 from loopback import looped
 
 from curlewhall.dash import manifest
@@ -27,7 +27,7 @@
 @looped
 @pytest.mark.parametrize("product", ["plain", "paid"])
 async def test_a_drained_nodes_viewer_goes_on_with_the_next_segment_elsewhere(tmp_path, product):
-    async with town(tmp_path, TwoDrawn, nodes=4) as place:
+    async with deployment(tmp_path, TwoDrawn, nodes=4) as place:
         _, plan = await place.ask(product=product)
         assert (await place.segment(plan, 1)).status == 200
         (first,) = at(place)
@@ -66,7 +66,7 @@
 async def test_a_move_that_the_module_declines_is_asked_for_again_while_the_buffer_lasts(
     tmp_path, refusals, early, status
 ):
-    async with town(tmp_path, Shy, nodes=4) as place:
+    async with deployment(tmp_path, Shy, nodes=4) as place:
         Shy.refusals = refusals
         front = place.fronts[0]
         _, plan = await place.ask()
@@ -88,7 +88,7 @@
 
 @looped
 async def test_a_viewer_who_leaves_between_two_tries_ends_the_move(tmp_path):
-    async with town(tmp_path, Shy, nodes=4) as place:
+    async with deployment(tmp_path, Shy, nodes=4) as place:
         Shy.refusals = 99
         front = place.fronts[0]
         _, plan = await place.ask()
@@ -111,7 +111,7 @@
 
 @looped
 async def test_the_modules_look_for_room_changes_nothing(tmp_path):
-    async with town(tmp_path, nodes=4) as place:
+    async with deployment(tmp_path, nodes=4) as place:
         _, plan = await place.ask(product="paid")
         module = place.fronts[0].driver.module
         (active_play,) = place.fronts[0].driver.plays.values()
@@ -136,7 +136,7 @@
 
 @looped
 async def test_the_only_holder_keeps_its_plays(tmp_path):
-    async with town(tmp_path, TwoDrawn, nodes=1) as place:
+    async with deployment(tmp_path, TwoDrawn, nodes=1) as place:
         _, plan = await place.ask()
         place.fault("drain")
         await until(
@@ -148,7 +148,7 @@
 
 @looped
 async def test_a_paid_move_whose_target_freezes_is_set_up_once_and_its_viewer_asks_anew(tmp_path):
-    async with town(tmp_path, TwoDrawn, nodes=2) as place:
+    async with deployment(tmp_path, TwoDrawn, nodes=2) as place:
         place.plan["products"][2] |= {"limit_ms": 800, "target_ms": 800}
         await place.kill(place.fronts[0])
         front = await place.front(TwoDrawn)
@@ -168,7 +168,7 @@
 
 @looped
 async def test_a_node_that_does_not_confirm_the_end_keeps_the_play_and_nothing_is_set_up(tmp_path):
-    async with town(tmp_path, TwoDrawn, nodes=3) as place:
+    async with deployment(tmp_path, TwoDrawn, nodes=3) as place:
         await place.ask()
         (first,) = at(place)
         place.fault("freeze", nodes=[first])
@@ -185,7 +185,7 @@
 
 @looped
 async def test_a_drain_called_back_stops_and_after_a_kill_half_way_the_next_front_goes_on(tmp_path):
-    async with town(tmp_path, TwoDrawn, nodes=6) as place:
+    async with deployment(tmp_path, TwoDrawn, nodes=6) as place:
         for i in range(30):
             await place.ask(viewer=f"v{i}")
         first = max(set(at(place)), key=at(place).count)
@@ -207,7 +207,7 @@
 
 @looped
 async def test_an_operators_drain_at_a_front_and_its_calling_back(tmp_path):
-    async with town(tmp_path, TwoDrawn, nodes=3) as place:
+    async with deployment(tmp_path, TwoDrawn, nodes=3) as place:
         await place.ask()
         (first,) = at(place)
 
@@ -236,7 +236,7 @@
 
 @looped
 async def test_a_target_that_dies_with_the_first_segment_out_is_a_break_like_any_other(tmp_path):
-    async with town(tmp_path, TwoDrawn, nodes=3) as place:
+    async with deployment(tmp_path, TwoDrawn, nodes=3) as place:
         _, plan = await place.ask()
         (first,) = at(place)
         place.fault("drain", nodes=[first])
--- a/tests/front/test_parting.py
+++ b/tests/front/test_parting.py
@@ -5,7 +5,7 @@
 from urllib.parse import urlsplit
 
 import pytest
-from front.town import town, until
+from front.deployment import deployment, until
 from loopback import looped
 
 from curlewhall.dash import manifest, tokens
@@ -28,7 +28,7 @@
 
 @looped
 async def test_plays_go_to_the_peers_and_their_viewers_find_them_there(tmp_path):
-    async with town(tmp_path, TwoDrawn, nodes=4, fronts=3) as place:
+    async with deployment(tmp_path, TwoDrawn, nodes=4, fronts=3) as place:
         leaving = place.fronts[0]
         plans = [(await place.ask(viewer=f"v{i}", title=f"clip-{i % 4:02}"))[1] for i in range(12)]
         peers = [await place.front(TwoDrawn, index) for index in (1, 2)]
@@ -55,7 +55,7 @@
 
 @looped
 async def test_seats_hold_over_a_leaving_front(tmp_path):
-    async with town(tmp_path, TwoDrawn, nodes=4, fronts=2) as place:
+    async with deployment(tmp_path, TwoDrawn, nodes=4, fronts=2) as place:
         leaving = place.fronts[0]
         for i in range(5):
             await place.ask(viewer=f"v{i}", product="paid")
@@ -84,7 +84,7 @@
     ],
 )
 async def test_an_offer_is_taken_only_when_all_of_it_is_right(tmp_path, edit, status):
-    async with town(tmp_path, TwoDrawn, nodes=3, fronts=2) as place:
+    async with deployment(tmp_path, TwoDrawn, nodes=3, fronts=2) as place:
         await place.ask()
         (active_play,) = place.fronts[0].driver.plays.values()
         peer = await place.front(TwoDrawn, 1)
@@ -115,7 +115,7 @@
 @looped
 async def test_an_offer_that_is_answered_late_is_made_to_no_other(tmp_path):
     """The peer has asked the node; its word comes after the giver's patience. One front holds the play."""
-    async with town(tmp_path, TwoDrawn, nodes=3, fronts=3) as place:
+    async with deployment(tmp_path, TwoDrawn, nodes=3, fronts=3) as place:
         leaving = place.fronts[0]
         await place.ask(viewer="v")
         peers, offers, gate = [await place.front(TwoDrawn, index) for index in (1, 2)], [], asyncio.Event()
@@ -149,7 +149,7 @@
 
 @looped
 async def test_two_that_leave_together_give_each_other_nothing(tmp_path):
-    async with town(tmp_path, TwoDrawn, nodes=3, fronts=2) as place:
+    async with deployment(tmp_path, TwoDrawn, nodes=3, fronts=2) as place:
         await place.ask()
         await place.front(TwoDrawn, 1)
         await place.ask(viewer="w")
--- a/tests/inventory/test_watch.py
+++ b/tests/inventory/test_watch.py
@@ -5,7 +5,7 @@
 import sys
 
 import pytest
-from front.town import Town, until
+from front.deployment import Deployment, until
 from loopback import looped
 
 from curlewhall.drills.baselines import TwoDrawn
@@ -175,8 +175,8 @@
     assert not taken and watcher.waiting
 
 
-class Filed(Town):
-    """A town whose front knows its nodes from a file alone."""
+class Filed(Deployment):
+    """A deployment whose front knows its nodes from a file alone."""
 
     def write(self, nodes):
         rows = {
--- a/tests/members/test_members.py
+++ b/tests/members/test_members.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from front.town import town, until
+from front.deployment import deployment, until
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
@@ -383,7 +383,7 @@
     (tmp_path / "keys").touch(mode=0o600)
     (tmp_path / "keys").write_text(KEY.hex() + "\n")
     edit = {"old": "tokens {", "new": f'members {{ key_file: "{tmp_path}/keys" }}\ntokens {{'}
-    async with town(tmp_path, nodes=3, fronts=2, **edit) as place:
+    async with deployment(tmp_path, nodes=3, fronts=2, **edit) as place:
         one = place.fronts[0].peers.members
         # the drill's relay of datagrams is not there: each sends straight to the other's socket
         other = (await place.front(index=1, **edit)).peers.members
--- a/tests/recovery/test_kept.py
+++ b/tests/recovery/test_kept.py
@@ -5,7 +5,7 @@
 
 import msgspec
 import pytest
-from front.town import town, until
+from front.deployment import deployment, until
 from loopback import looped
 
 from curlewhall.drills.baselines import TwoDrawn
@@ -25,7 +25,7 @@
 async def test_with_a_full_disk_only_a_strict_fronts_paid_plays_are_not_sent(
     tmp_path, monkeypatch, durability, product, status, setups
 ):
-    async with town(tmp_path, TwoDrawn, durability=durability) as place:
+    async with deployment(tmp_path, TwoDrawn, durability=durability) as place:
         monkeypatch.setattr(
             Disk, "append", lambda *facts: (_ for _ in ()).throw(OSError(errno.ENOSPC, "full"))
         )
@@ -36,7 +36,7 @@
 
 @looped
 async def test_after_a_kill_a_paid_viewer_waits_for_its_silent_nodes_word(tmp_path):
-    async with town(tmp_path, TwoDrawn, durability="strict") as place:
+    async with deployment(tmp_path, TwoDrawn, durability="strict") as place:
         message, _ = await place.ask(product="paid", viewer="one")
         node = place.rows("setup")[0]["at"][5:]
         place.fault("freeze", nodes=[node])
@@ -52,7 +52,7 @@
 
 @looped
 async def test_plays_that_ended_while_the_front_was_away_are_over_on_its_disk_too(tmp_path):
-    async with town(tmp_path, TwoDrawn, nodes=2, durability="strict") as place:
+    async with deployment(tmp_path, TwoDrawn, nodes=2, durability="strict") as place:
         for i in range(6):
             await place.ask(viewer=f"v{i}", product="paid", title=f"clip-0{i}")
         await until(lambda: len(place.fronts[0].driver.play_store.state.playing) == 6)
@@ -68,7 +68,7 @@
 
 @looped
 async def test_a_nodes_hello_does_not_end_a_set_up_that_is_out_to_it_on_disk(tmp_path, monkeypatch):
-    async with town(tmp_path, TwoDrawn, nodes=1, durability="strict", setup_ms=[2000, 2000]) as place:
+    async with deployment(tmp_path, TwoDrawn, nodes=1, durability="strict", setup_ms=[2000, 2000]) as place:
         front, greeted = place.fronts[0], []
         hello = front.nodes.hello
         monkeypatch.setattr(front.nodes, "hello", lambda *facts: (hello(*facts), greeted.append(facts)))
@@ -83,7 +83,7 @@
 @looped
 @pytest.mark.parametrize("age", [60_000, 0])
 async def test_after_a_kill_nodes_are_not_paced_as_cold_that_show_plays_of_long_ago(tmp_path, age):
-    async with town(tmp_path, TwoDrawn, nodes=4, durability="lagging") as place:
+    async with deployment(tmp_path, TwoDrawn, nodes=4, durability="lagging") as place:
         for i in range(24):
             assert (await place.ask(viewer=f"v{i}", top=0))[0].status == 200
         play_store = place.fronts[0].driver.play_store
@@ -105,6 +105,6 @@
 
 @looped
 async def test_two_fronts_do_not_share_a_folder(tmp_path):
-    async with town(tmp_path, TwoDrawn, durability="lagging") as place:
+    async with deployment(tmp_path, TwoDrawn, durability="lagging") as place:
         with pytest.raises(StoreLockedError):
             await place.front(TwoDrawn)
--- a/tests/relay/town.py
+++ b/tests/relay/deployment.py
@@ -112,7 +112,7 @@
     )
 
 
-class Town:
+class Deployment:
     """`relay` on `port`; `platform` around it. `clock`: a clock that stands still, see `advance`."""
 
     def __init__(self, nodes=("n0", "n1", "n2", "n3"), does="serve", clock=None, **changes):
@@ -186,8 +186,8 @@
 
 
 @contextlib.asynccontextmanager
-async def town(tmp_path, sockets=256, **facts):
-    place = Town(**facts)
+async def deployment(tmp_path, sockets=256, **facts):
+    place = Deployment(**facts)
     try:
         yield await place.start(tmp_path, sockets)
     finally:
--- a/tests/relay/test_channel.py
+++ b/tests/relay/test_channel.py
@@ -5,7 +5,7 @@
 
 import pytest
 from loopback import looped
-from relay.town import Clock, town
+from relay.deployment import Clock, deployment
 
 from curlewhall.relay import channel, decide
 from curlewhall.standins.platform import Channel
@@ -99,7 +99,7 @@
 
 @looped
 async def test_events_by_number(tmp_path):
-    async with town(tmp_path, nodes=("n0", "n1")) as place:
+    async with deployment(tmp_path, nodes=("n0", "n1")) as place:
         platform, relay = place.platform, place.relay
         states = relay.driver.module.nodes
         await place.until(lambda: platform.channel.lines)
@@ -122,7 +122,7 @@
 async def test_silence_is_noticed(tmp_path, monkeypatch):
     monkeypatch.setattr(decide, "SILENT", 0.1)
     monkeypatch.setattr(decide, "FIRST", 0.1)
-    async with town(tmp_path, nodes=("n0",)) as place:
+    async with deployment(tmp_path, nodes=("n0",)) as place:
         place.platform.channel.held = True
         await place.until(lambda: len(place.platform.channel.calls) >= 3)
         place.platform.channel.held = False
@@ -132,7 +132,7 @@
 
 @looped
 async def test_another_address_and_a_file_that_can_not_be_read(tmp_path, monkeypatch):
-    async with town(tmp_path, nodes=("n0",)) as place:
+    async with deployment(tmp_path, nodes=("n0",)) as place:
         monkeypatch.setenv("RELAY_CONFIG", str(place.file))
         monkeypatch.setenv("RELAY_LISTEN", f"127.0.0.1:{place.port}")
         viewer = await place.platform.viewer(place.port)
@@ -164,7 +164,7 @@
 @looped
 async def test_an_event_that_can_not_be_read_does_not_end_the_following(tmp_path, bad):
     """It is asked for once more, and then passed over: what comes after it is taken, each time it is told."""
-    async with town(tmp_path, nodes=("n0", "n1")) as place:
+    async with deployment(tmp_path, nodes=("n0", "n1")) as place:
         platform, relay = place.platform, place.relay
         states = relay.driver.module.nodes
         await place.until(lambda: platform.channel.lines)
@@ -180,7 +180,7 @@
 @looped
 async def test_what_came_whole_before_an_event_that_can_not_be_read_is_taken(tmp_path):
     """Both come in one piece."""
-    async with town(tmp_path, nodes=("n0",)) as place:
+    async with deployment(tmp_path, nodes=("n0",)) as place:
         platform, relay = place.platform, place.relay
         await place.until(lambda: platform.channel.lines)
         platform.channel.held = True  # nothing is told again
@@ -198,7 +198,7 @@
 @looped
 async def test_a_number_far_ahead_is_believed_if_its_event_names_it_too(tmp_path, number, names, after):
     """A spoilt number would pass over all that is told after it."""
-    async with town(tmp_path, nodes=("n0", "n1")) as place:
+    async with deployment(tmp_path, nodes=("n0", "n1")) as place:
         platform, relay = place.platform, place.relay
         states = relay.driver.module.nodes
         await place.until(lambda: platform.channel.lines)
@@ -220,7 +220,7 @@
 @looped
 async def test_two_watches_silent_in_a_row_cost_less_than_what_counts_as_told(tmp_path, clock):
     """The watch stays open and says nothing, and so does the next: the third tells, in time."""
-    async with town(tmp_path, clock=clock, nodes=("n0",)) as place:
+    async with deployment(tmp_path, clock=clock, nodes=("n0",)) as place:
         platform, channel = place.platform, place.platform.channel
         await place.until(lambda: channel.lines)
         began, channel.held = clock.now, True
@@ -241,7 +241,7 @@
 async def test_a_fleet_that_comes_back_leaves_a_slow_channel_its_time(tmp_path, clock):
     """Each ask that is broken off for its silence costs the channel another: only the first is short."""
     spans = []
-    async with town(tmp_path, clock=clock, nodes=("n0",)) as place:
+    async with deployment(tmp_path, clock=clock, nodes=("n0",)) as place:
         channel = place.platform.channel
         await place.until(lambda: channel.lines)
         channel.held, asked = True, counted(place.relay.channel)
@@ -256,7 +256,7 @@
 @looped
 async def test_told_while_the_watch_is_broken_off(tmp_path, clock):
     """Between the break and the return, and with the address of the channel moved meanwhile."""
-    async with town(tmp_path, clock=clock, nodes=("n0", "n1")) as place:
+    async with deployment(tmp_path, clock=clock, nodes=("n0", "n1")) as place:
         platform, old = place.platform, place.platform.channel
         await place.until(lambda: old.lines)
         states = place.relay.driver.module.nodes
@@ -284,7 +284,7 @@
 @looped
 async def test_a_file_half_written_is_read_again(tmp_path, clock, monkeypatch):
     """SIGHUP comes while the file is being written: the channel's new address is not lost with it."""
-    async with town(tmp_path, clock=clock, nodes=("n0",)) as place:
+    async with deployment(tmp_path, clock=clock, nodes=("n0",)) as place:
         monkeypatch.setenv("RELAY_CONFIG", str(place.file))
         monkeypatch.setenv("RELAY_LISTEN", f"127.0.0.1:{place.port}")
         await place.until(lambda: place.platform.channel.lines)
--- a/tests/relay/test_crossings.py
+++ b/tests/relay/test_crossings.py
@@ -11,7 +11,7 @@
 
 import pytest
 from loopback import looped
-from relay.town import Client, Clock, set_up, town
+from relay.deployment import Client, Clock, deployment, set_up
 
 from curlewhall.codecs import messages, rtsp
 from curlewhall.codecs.messages import ANSWER, RELEASE
@@ -88,7 +88,7 @@
 @looped
 async def test_gone_while_its_set_up_waits_for_a_connection(tmp_path, doors, how, state):
     """The end lies in the socket, unread, as the connection comes up: a core was busy."""
-    async with town(tmp_path, nodes=("n0",)) as place:
+    async with deployment(tmp_path, nodes=("n0",)) as place:
         first, client = Client(place), Client(place)
         other = first.ask()
         await place.settle()
@@ -109,7 +109,7 @@
 @looped
 async def test_gone_while_its_first_allocation_is_out(tmp_path, clock, how, state):
     """No further one begins, whatever else is open on its connection, or was said there."""
-    async with town(tmp_path, does="silent", clock=clock) as place:
+    async with deployment(tmp_path, does="silent", clock=clock) as place:
         first, client = Client(place), Client(place)
         first.ask(product="paid")
         await place.settle()
@@ -139,7 +139,7 @@
     """Set-up and end lie in the socket together: the relay was busy, and begins nothing. Connections to nodes
     are up and idle, so that nothing else would keep a set-up back. `behind`: what lies between the two.
     """
-    async with town(tmp_path) as place:
+    async with deployment(tmp_path) as place:
         first, client = Client(place), Client(place)
         served = [first.ask() for _ in range(3)]
         await place.settle()
@@ -162,7 +162,7 @@
 @looped
 async def test_gone_with_more_unread_before_its_end_than_one_read_takes(tmp_path, doors):
     """The end lies behind 60 kB: a peek shows bytes, and the end is seen all the same."""
-    async with town(tmp_path, nodes=("n0",)) as place:
+    async with deployment(tmp_path, nodes=("n0",)) as place:
         client = Client(place)
         name = client.ask()
         await place.settle()
@@ -179,7 +179,7 @@
     """Its end lies unread as the node's refusal is read: no further allocation begins, though the connections
     to the other nodes are up.
     """
-    async with town(tmp_path, does="silent") as place:
+    async with deployment(tmp_path, does="silent") as place:
         client, nodes_side = Client(place), place.relay.nodes
         for node in nodes_side.nodes.values():
             nodes_side.open(node)
@@ -199,7 +199,7 @@
 @looped
 async def test_a_release_that_was_read_ahead_counts_though_its_connection_ends(tmp_path):
     """It lies unread as a set-up of its connection is sent further, and then the connection is reset."""
-    async with town(tmp_path, does=["serve", "silent"]) as place:
+    async with deployment(tmp_path, does=["serve", "silent"]) as place:
         client = Client(place)
         stands = client.ask()
         await place.settle()
@@ -223,7 +223,7 @@
 @looped
 async def test_gone_as_its_answer_comes_from_the_node(tmp_path, how):
     """Its end lies unread as the node's answer is: nobody would ever release what stands there."""
-    async with town(tmp_path, does="silent", nodes=("n0",)) as place:
+    async with deployment(tmp_path, does="silent", nodes=("n0",)) as place:
         client, node = Client(place), place.platform.nodes["n0"]
         name = client.ask(product="paid")
         await place.settle()
@@ -239,7 +239,7 @@
 
 @looped
 async def test_gone_while_the_module_waits_for_a_report(tmp_path, clock):
-    async with town(
+    async with deployment(
         tmp_path, clock=clock, report={"how": "on_probe", "fields": ["cpu", "x1"]}, nodes=("n0",)
     ) as place:
         answer, place.platform.nodes["n0"].answer = place.platform.nodes["n0"].answer, lambda *_: b""
@@ -287,7 +287,7 @@
 @looped
 async def test_a_set_up_written_just_before_its_connection_is_closed_is_answered(tmp_path, clock, why):
     closer, after = CLOSERS[why]
-    async with town(tmp_path, clock=clock) as place:
+    async with deployment(tmp_path, clock=clock) as place:
         client = Client(place)
         if why != "silent":
             served = client.ask()
@@ -307,7 +307,7 @@
 @looped
 async def test_an_answer_that_its_reader_has_yet_to_take_is_not_cut(tmp_path, clock, why):
     closer, after = CLOSERS[why]
-    async with town(tmp_path, clock=clock) as place:
+    async with deployment(tmp_path, clock=clock) as place:
         client = Client(place)
         await place.settle()
         (connection,) = place.relay.viewers.connections.values()
@@ -327,7 +327,7 @@
 @looped
 async def test_a_first_set_up_that_comes_late_and_after_the_look_is_taken(tmp_path, clock, monkeypatch):
     """A client that said nothing for 2 s is to be closed; its set-up comes as the look has found nothing."""
-    async with town(tmp_path, clock=clock) as place:
+    async with deployment(tmp_path, clock=clock) as place:
         client = Client(place)
         await place.settle()
         clock.now += viewers.SILENT + 0.1
@@ -349,7 +349,7 @@
 @looped
 async def test_who_says_only_what_is_no_set_up_gets_its_close_in_time(tmp_path, clock):
     """And says it without an end: there is always more than one read takes."""
-    async with town(tmp_path, clock=clock) as place:
+    async with deployment(tmp_path, clock=clock) as place:
         client, look = Client(place), place.relay.viewers.look
         noise = messages.message(messages.RELEASE, "e" * 16, cause=b"\x10") * 6000
 
@@ -366,7 +366,7 @@
 @looped
 async def test_what_was_said_just_before_a_close_is_answered_wholly(tmp_path, clock):
     """Its answers are more than the kernel takes from this side at once."""
-    async with town(tmp_path, clock=clock) as place:
+    async with deployment(tmp_path, clock=clock) as place:
         client = Client(place)
         await place.settle()
         (connection,) = place.relay.viewers.connections.values()
@@ -384,7 +384,7 @@
 
 @looped
 async def test_who_reads_nothing_is_closed_in_the_end(tmp_path, clock):
-    async with town(tmp_path, clock=clock) as place:
+    async with deployment(tmp_path, clock=clock) as place:
         client = Client(place)
         await place.settle()
         (connection,) = place.relay.viewers.connections.values()
@@ -401,7 +401,7 @@
 @looped
 async def test_half_a_message_costs_no_set_up_that_is_whole(tmp_path, clock):
     """A byte a second: the rest comes while an earlier set-up is out, and is answered like any other."""
-    async with town(tmp_path, clock=clock, does="silent", nodes=("n0",)) as place:
+    async with deployment(tmp_path, clock=clock, does="silent", nodes=("n0",)) as place:
         client = Client(place)
         client.ask(product="paid")
         name = "e" * 16
@@ -417,7 +417,7 @@
 
 @looped
 async def test_a_byte_a_second_gets_its_close_in_time(tmp_path, clock):
-    async with town(tmp_path, clock=clock) as place:
+    async with deployment(tmp_path, clock=clock) as place:
         client = Client(place)
         for byte in set_up("e" * 16)[:3]:
             client.say(bytes((byte,)))
@@ -429,7 +429,7 @@
 @looped
 async def test_the_same_set_up_again_after_a_short_while(tmp_path, clock, first):
     """Whatever became of the first: the second is a play of its own, answered once, never out beside it."""
-    async with town(tmp_path, clock=clock, nodes=("n0",)) as place:
+    async with deployment(tmp_path, clock=clock, nodes=("n0",)) as place:
         node, client = place.platform.nodes["n0"], Client(place)
         node.does = {"refused": "full", "given up": "silent"}.get(first, "serve")
         name = client.ask()
@@ -466,7 +466,7 @@
             "half messages": asked[:30],
         }[flood]
 
-    async with town(tmp_path) as place:
+    async with deployment(tmp_path) as place:
         bad, usual, sent = Client(place), Client(place), 0
         bad.sock.setblocking(False)
         for _ in range(20):
@@ -500,7 +500,7 @@
     connection that the relay had not closed by then is answered exactly once, or was given up by its client.
     """
     draw = random.Random(seed)
-    async with town(tmp_path, clock=clock, does=["serve"]) as place:
+    async with deployment(tmp_path, clock=clock, does=["serve"]) as place:
         relay, clients, asked, lost = place.relay, [], {}, set()
         told = False
         until = clock.now + 4.5
@@ -564,7 +564,7 @@
 @looped
 async def test_a_set_up_written_just_after_the_last_answer_of_a_wind_down_is_answered(tmp_path, clock):
     """Nothing is owed on its connection as the next round closes it: what lies there is read first."""
-    async with town(tmp_path, clock=clock, does="silent", nodes=("n0",)) as place:
+    async with deployment(tmp_path, clock=clock, does="silent", nodes=("n0",)) as place:
         relay, client = place.relay, Client(place)
         first = client.ask(patience="1500")
         await place.settle()
@@ -587,7 +587,7 @@
     """From the moment on at which no set-up comes by the page they are refused, and the process ends long
     before the kill; what is out then is answered, too.
     """
-    async with town(tmp_path, clock=clock, does="silent") as place:
+    async with deployment(tmp_path, clock=clock, does="silent") as place:
         clients, asked = [Client(place) for _ in range(5)], {}
         ends = place.relay.leaving is None and clock.now
         asked |= {client.ask(product="paid", patience="30000"): client for client in clients}
@@ -606,7 +606,7 @@
 
 @looped
 async def test_all_who_wait_at_the_door_are_let_in_before_it_is_shut(tmp_path, clock):
-    async with town(tmp_path, clock=clock) as place:
+    async with deployment(tmp_path, clock=clock) as place:
         clients = [Client(place) for _ in range(90)]
         names = [client.ask(patience="900") for client in clients]
         place.relay.viewers.ready = False
@@ -622,7 +622,7 @@
 @looped
 async def test_a_node_that_is_another_once_its_connection_comes_up_gets_nothing(tmp_path, doors, told):
     """Of what was chosen before; one that has started anew may get what the module chose knowing of it."""
-    async with town(tmp_path, nodes=("n0",)) as place:
+    async with deployment(tmp_path, nodes=("n0",)) as place:
         client, ends, ended = Client(place), [], place.relay.driver.allocation_ended
         place.relay.driver.allocation_ended = lambda active_play, number, node, how, *more: (
             ends.append((number, how)),
@@ -650,7 +650,7 @@
 @looped
 async def test_what_stood_at_a_process_that_has_started_anew_is_over(tmp_path, moved):
     """The list tells of the start, and no release does: the process that would tell is gone."""
-    async with town(tmp_path, nodes=("n0",)) as place:
+    async with deployment(tmp_path, nodes=("n0",)) as place:
         client = Client(place)
         name = client.ask()
         await place.settle()
@@ -675,7 +675,7 @@
     the node has heard that the first was given up.
     """
     status = LATE[late]
-    async with town(tmp_path, clock=clock, does="silent", nodes=("n0",)) as place:
+    async with deployment(tmp_path, clock=clock, does="silent", nodes=("n0",)) as place:
         node, client = place.platform.nodes["n0"], Client(place)
         name = client.ask()
         await place.settle()
@@ -704,7 +704,7 @@
 
 @looped
 async def test_a_second_set_up_waits_until_the_first_ones_teardown_was_heard(tmp_path, clock):
-    async with town(tmp_path, clock=clock, does="silent", nodes=("n0",)) as place:
+    async with deployment(tmp_path, clock=clock, does="silent", nodes=("n0",)) as place:
         node, client = place.platform.nodes["n0"], Client(place)
         node.hears = False  # it takes a TEARDOWN, and says nothing of it
         name = client.ask()
@@ -719,7 +719,7 @@
 @looped
 async def test_an_answer_that_breaks_off_in_the_middle(tmp_path, clock, ends):
     """The next answer on that connection is no part of it, and what stands at the node is ended there."""
-    async with town(tmp_path, clock=clock, does="silent", nodes=("n0",)) as place:
+    async with deployment(tmp_path, clock=clock, does="silent", nodes=("n0",)) as place:
         node, client = place.platform.nodes["n0"], Client(place)
         node.does, node.hears = ["serve", "silent"], False  # nothing more is said on that connection
         before = client.ask()
@@ -754,7 +754,7 @@
 @looped
 async def test_a_second_answer_some_milliseconds_late_is_nobodys(tmp_path, clock):
     """Also once the session was released by its viewer, and by its node."""
-    async with town(tmp_path, clock=clock, nodes=("n0",)) as place:
+    async with deployment(tmp_path, clock=clock, nodes=("n0",)) as place:
         node, client = place.platform.nodes["n0"], Client(place)
         for end in ("", "viewer", "node"):
             name = client.ask()
@@ -777,7 +777,7 @@
 @looped
 async def test_a_node_taken_away_while_a_set_up_is_started_anew_for_it(tmp_path, clock):
     """The end of its connections starts the set-up anew: no connection is left that belongs to no node."""
-    async with town(tmp_path, clock=clock, nodes=("n0", "n1")) as place:
+    async with deployment(tmp_path, clock=clock, nodes=("n0", "n1")) as place:
         client = Client(place)
         served = client.ask()
         await place.settle()
@@ -799,7 +799,7 @@
 @looped
 async def test_a_probe_that_waits_for_its_connection_leaves_on_it(tmp_path, clock, doors):
     """Not on the next that comes up, where nobody would know its answer; and not once its time is over."""
-    async with town(tmp_path, clock=clock, nodes=("n0",)) as place:
+    async with deployment(tmp_path, clock=clock, nodes=("n0",)) as place:
         relay = place.relay.nodes
         heard = []
         place.relay.driver.module.probed = lambda now, node, how, took, report: heard.append(how) or []
@@ -821,7 +821,7 @@
 
 @looped
 async def test_many_probes_of_a_node_out_of_reach_leave_nothing_behind(tmp_path, clock, doors):
-    async with town(tmp_path, clock=clock, nodes=("n0",)) as place:
+    async with deployment(tmp_path, clock=clock, nodes=("n0",)) as place:
         for _ in range(100):
             place.relay.nodes.probe("n0")
         await place.advance(1.0)
@@ -832,7 +832,7 @@
 @looped
 async def test_what_a_node_says_on_a_connection_that_is_to_be_closed_is_heard(tmp_path, clock):
     """Its end of a session lies unread as the relay tidies up its connections."""
-    async with town(tmp_path, clock=clock, nodes=("n0",)) as place:
+    async with deployment(tmp_path, clock=clock, nodes=("n0",)) as place:
         client, node = Client(place), place.platform.nodes["n0"]
         names = [client.ask() for _ in range(2)]
         await place.settle()
@@ -852,7 +852,7 @@
 
 @looped
 async def test_a_teardown_that_finds_its_connection_broken_is_said_on_the_next(tmp_path, clock):
-    async with town(tmp_path, clock=clock, nodes=("n0",)) as place:
+    async with deployment(tmp_path, clock=clock, nodes=("n0",)) as place:
         client, node = Client(place), place.platform.nodes["n0"]
         name = client.ask()
         await place.settle()
--- a/tests/relay/test_processes.py
+++ b/tests/relay/test_processes.py
@@ -9,8 +9,8 @@
 
 import pytest
 from loopback import Crowd, looped, poll
+from relay.deployment import free_port, set_up
 from relay.test_relay_process import ask, config, reach, run
-from relay.town import free_port, set_up
 
 from curlewhall.codecs import messages
 from curlewhall.standins.platform import Platform
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -6,7 +6,7 @@
 
 import pytest
 from loopback import looped
-from relay.town import town
+from relay.deployment import deployment
 
 from curlewhall.codecs import messages
 from curlewhall.codecs.messages import ANSWER, CAUSE, DESCRIPTION, RELEASE
@@ -27,7 +27,7 @@
 
 @looped
 async def test_served_with_the_nodes_own_description(tmp_path):
-    async with town(tmp_path) as place:
+    async with deployment(tmp_path) as place:
         viewer = await place.platform.viewer(place.port)
         session = viewer.ask(product="paid")
         answer = await viewer.hear(session)
@@ -53,7 +53,7 @@
 @looped
 async def test_refused_or_failed_as_the_proof_goes(tmp_path, does, product, kind, tries):
     """Only what provably never ran is sent again or refused, where it is paid for."""
-    async with town(tmp_path, does=does) as place:
+    async with deployment(tmp_path, does=does) as place:
         viewer = await place.platform.viewer(place.port)
         session = viewer.ask(product=product)
         answer = await viewer.hear(session)
@@ -66,7 +66,7 @@
 @pytest.mark.parametrize("does", [*SPOILT, "break", "error", "reset", "full"])
 @looped
 async def test_spoilt_answers_are_not_passed_on(tmp_path, does):
-    async with town(tmp_path, does=[does, "serve"]) as place:
+    async with deployment(tmp_path, does=[does, "serve"]) as place:
         viewer = await place.platform.viewer(place.port)
         session = viewer.ask()
         answer = await viewer.hear(session)
@@ -78,7 +78,7 @@
 @pytest.mark.parametrize("does", ["twice", "ahead"])
 @looped
 async def test_answers_that_bring_more(tmp_path, does):
-    async with town(tmp_path, does=does) as place:
+    async with deployment(tmp_path, does=does) as place:
         viewer = await place.platform.viewer(place.port)
         asked = [viewer.ask() for _ in range(5)]
         for session in asked:
@@ -90,7 +90,7 @@
 @looped
 async def test_an_end_that_comes_with_its_answer(tmp_path):
     """A session with next to nothing left to play: served and over, and no sign of a node in trouble."""
-    async with town(tmp_path, does="short") as place:
+    async with deployment(tmp_path, does="short") as place:
         viewer = await place.platform.viewer(place.port)
         session = viewer.ask(product="paid")
         answer, end = await viewer.hear(session), await viewer.hear(session, 2)
@@ -103,7 +103,7 @@
 
 @looped
 async def test_late_is_given_up_before_the_next_and_cut_if_it_crosses(tmp_path):
-    async with town(tmp_path, does=["silent", "serve"], nodes=("n0",)) as place:
+    async with deployment(tmp_path, does=["silent", "serve"], nodes=("n0",)) as place:
         viewer, node = await place.platform.viewer(place.port), place.platform.nodes["n0"]
         session = viewer.ask()
         await viewer.hear(session)
@@ -125,7 +125,7 @@
 @looped
 async def test_a_drain_told_while_the_connection_comes_up(tmp_path, monkeypatch):
     """What waited for its connection does not go to a node that drains by then."""
-    async with town(tmp_path, nodes=("n0", "n1")) as place:
+    async with deployment(tmp_path, nodes=("n0", "n1")) as place:
         real, drained = nodes.connect, []
 
         def connect(loop, address, owner):
@@ -150,7 +150,7 @@
 @pytest.mark.parametrize(("how", "owed"), [(16, True), (41, True), (31, False)])
 @looped
 async def test_ended_at_its_node(tmp_path, how, owed):
-    async with town(tmp_path) as place:
+    async with deployment(tmp_path) as place:
         viewer = await place.platform.viewer(place.port)
         session = viewer.ask()
         await viewer.hear(session)
@@ -164,7 +164,7 @@
 
 @looped
 async def test_released_on_another_connection(tmp_path):
-    async with town(tmp_path) as place:
+    async with deployment(tmp_path) as place:
         first = await place.platform.viewer(place.port)
         session = first.ask()
         await first.hear(session)
@@ -181,7 +181,7 @@
 
 @looped
 async def test_given_up_and_released_by_viewers(tmp_path):
-    async with town(tmp_path, does=["silent", "serve"], nodes=("n0",)) as place:
+    async with deployment(tmp_path, does=["silent", "serve"], nodes=("n0",)) as place:
         viewer, other = [await place.platform.viewer(place.port) for _ in range(2)]
         first = viewer.ask(product="paid")
         await place.until(lambda: place.platform.nodes["n0"].out)
@@ -198,7 +198,7 @@
 
 @looped
 async def test_a_connection_that_ends_gives_up_what_is_open(tmp_path):
-    async with town(tmp_path, does="silent") as place:
+    async with deployment(tmp_path, does="silent") as place:
         viewer = await place.platform.viewer(place.port)
         asked = [viewer.ask() for _ in range(20)]
         await place.until(lambda: len([r for r in place.platform.of("set-up") if r[0] != "viewer"]) >= 10)
@@ -209,7 +209,7 @@
 
 @looped
 async def test_adopted_sessions_end_too(tmp_path):
-    async with town(tmp_path) as place:
+    async with deployment(tmp_path) as place:
         viewer = await place.platform.viewer(place.port)
         session = viewer.ask(at="n2", patience="0")
         viewer.ask(session, at="n2", patience="0")  # named twice
@@ -226,7 +226,7 @@
 @looped
 async def test_a_play_that_the_module_moves(tmp_path, ends):
     """The viewer is told first; the platform ends the session, or it was over, and the viewer is released."""
-    async with town(tmp_path, nodes=("n0", "n1")) as place:
+    async with deployment(tmp_path, nodes=("n0", "n1")) as place:
         platform, viewer = place.platform, await place.platform.viewer(place.port)
         platform.ends_moved = ends
         session = viewer.ask()
@@ -246,7 +246,7 @@
 
 @looped
 async def test_a_node_that_dies_and_one_that_was_only_reset(tmp_path):
-    async with town(tmp_path, nodes=("n0", "n1")) as place:
+    async with deployment(tmp_path, nodes=("n0", "n1")) as place:
         viewer = await place.platform.viewer(place.port)
         asked = [viewer.ask(at=f"n{i % 2}", patience="0") for i in range(6)]
         dies, lives = place.platform.nodes["n0"], place.platform.nodes["n1"]
@@ -268,7 +268,7 @@
     monkeypatch.setattr(nodes, "QUIET", 0.2)
     monkeypatch.setattr(nodes, "LOOK", 0.05)
     monkeypatch.setattr(decide, "KNOWN", 1.5)
-    async with town(tmp_path, nodes=("n0", "n1"), permissions__idle_close_ms=1e7) as place:
+    async with deployment(tmp_path, nodes=("n0", "n1"), permissions__idle_close_ms=1e7) as place:
         viewer, real = await place.platform.viewer(place.port), nodes.connect
         asked = [viewer.ask(at=f"n{i % 2}", patience="0") for i in range(4)]
         await place.until(lambda: all(n.lines for n in place.platform.nodes.values()))
@@ -289,7 +289,7 @@
 @looped
 async def test_a_new_node_at_the_address_of_one_that_is_gone(tmp_path, monkeypatch):
     monkeypatch.setattr(nodes, "WAIT", 0.01)
-    async with town(tmp_path, nodes=("n0",)) as place:
+    async with deployment(tmp_path, nodes=("n0",)) as place:
         viewer, node = await place.platform.viewer(place.port), place.platform.nodes["n0"]
         session = viewer.ask()
         await viewer.hear(session)
@@ -310,7 +310,9 @@
 
 @looped
 async def test_reports_come_in_the_settings_words(tmp_path):
-    async with town(tmp_path, report={"how": "on_probe", "fields": ["cpu", "x1"]}, nodes=("n0",)) as place:
+    async with deployment(
+        tmp_path, report={"how": "on_probe", "fields": ["cpu", "x1"]}, nodes=("n0",)
+    ) as place:
         viewer = await place.platform.viewer(place.port)
         await viewer.hear(viewer.ask())
         found = place.relay.driver.module.nodes["n0"]
@@ -322,7 +324,7 @@
 
 @looped
 async def test_short_delivery_steps_down(tmp_path):
-    async with town(tmp_path, nodes=("n0",)) as place:
+    async with deployment(tmp_path, nodes=("n0",)) as place:
         viewer, node = await place.platform.viewer(place.port), place.platform.nodes["n0"]
         session = viewer.ask(top=1)
         await viewer.hear(session)
@@ -378,7 +380,7 @@
 @looped
 async def test_set_ups_that_can_not_be_taken(tmp_path, change):
     """Each is refused at once; the module hears nothing, and the usual viewer beside it is served."""
-    async with town(tmp_path) as place:
+    async with deployment(tmp_path) as place:
         bad, good = [await place.platform.viewer(place.port) for _ in range(2)]
         fields = {name: value for name, value in (GOOD | change).items() if value is not None}
         bad.send(messages.message(messages.SET_UP, "00000000000000b0", **fields))
@@ -404,7 +406,7 @@
 @looped
 async def test_what_is_no_set_up_is_closed_on(tmp_path, monkeypatch, raw):
     monkeypatch.setattr(viewers, "SILENT", 0.2)
-    async with town(tmp_path) as place:
+    async with deployment(tmp_path) as place:
         bad = await place.platform.viewer(place.port)
         bad.send(raw)
         assert await bad.gone()
@@ -416,7 +418,7 @@
 
 @looped
 async def test_garbage_after_a_set_up_costs_no_answer(tmp_path):
-    async with town(tmp_path) as place:
+    async with deployment(tmp_path) as place:
         viewer = await place.platform.viewer(place.port)
         session = viewer.ask()
         viewer.send(b"\xff" * 100)
@@ -425,7 +427,7 @@
 
 @looped
 async def test_a_second_set_up_under_an_open_id(tmp_path):
-    async with town(tmp_path, does="silent") as place:
+    async with deployment(tmp_path, does="silent") as place:
         viewer, bad = [await place.platform.viewer(place.port) for _ in range(2)]
         session = viewer.ask(product="paid")
         await place.until(lambda: any(n.out for n in place.platform.nodes.values()))
@@ -440,7 +442,7 @@
 
 @looped
 async def test_hundreds_of_connections_leave_room_for_a_viewer(tmp_path):
-    async with town(tmp_path, sockets=100) as place:
+    async with deployment(tmp_path, sockets=100) as place:
         usual = await place.platform.viewer(place.port)
         await usual.hear(usual.ask())
         crowd = [await place.platform.viewer(place.port) for _ in range(150)]
@@ -453,7 +455,7 @@
 
 @looped
 async def test_hundreds_at_once_and_taken_back(tmp_path):
-    async with town(tmp_path, does="silent") as place:
+    async with deployment(tmp_path, does="silent") as place:
         bad = await place.platform.viewer(place.port)
         asked = [bad.ask() for _ in range(300)]
         for session in asked:
@@ -488,7 +490,7 @@
 async def test_belief_agrees_with_the_sockets_after_a_rough_course(tmp_path, seed):
     """Crossings, resets, spoilt answers, ends seen twice: then everything is counted from what passed."""
     draw = random.Random(seed)
-    async with town(tmp_path) as place:
+    async with deployment(tmp_path) as place:
         platform, relay = place.platform, place.relay
         crowd = [await platform.viewer(place.port) for _ in range(4)]
         asked = []
@@ -529,7 +531,7 @@
 async def test_tables_shrink_again(tmp_path, monkeypatch):
     """Two thousand sessions with new ids, new connections and replaced nodes; what is left is counted."""
     monkeypatch.setattr(nodes, "WAIT", 0.01)
-    async with town(tmp_path) as place:
+    async with deployment(tmp_path) as place:
         platform, relay = place.platform, place.relay
         number = 1
         for turn in range(40):
@@ -567,7 +569,7 @@
 @looped
 async def test_what_came_while_a_leaving_front_was_busy_is_read_before_the_close(tmp_path):
     """A front that is kept busy for 80 ms as its time is over: what its viewers wrote then is answered."""
-    async with town(tmp_path) as place:
+    async with deployment(tmp_path) as place:
         relay = place.relay
         first, second = [await place.platform.viewer(place.port) for _ in range(2)]
         for viewer in (first, second):
--- a/tests/relay/test_relay_process.py
+++ b/tests/relay/test_relay_process.py
@@ -11,7 +11,7 @@
 
 import pytest
 from loopback import looped, poll
-from relay.town import free_port, settings
+from relay.deployment import free_port, settings
 
 from curlewhall.codecs import messages
 from curlewhall.relay import start_settings
--- a/tests/sites/test_sites_fleet.py
+++ b/tests/sites/test_sites_fleet.py
@@ -3,14 +3,14 @@
 import asyncio
 
 import pytest
-from front.town import Town, until
+from front.deployment import Deployment, until
 from loopback import looped
 
 from curlewhall.drills.fleet import add_links
 from curlewhall.sites.state import LOST, WHOLE
 
 
-class Halls(Town):
+class Halls(Deployment):
     """Eight nodes in two zones, several fronts that share keys."""
 
     def __init__(self, folder, fronts=1, links=False):
