--- a/curlewhall/recovery/null_objects.py
+++ b/curlewhall/recovery/null_objects.py
@@ -1,4 +1,4 @@
-"""What stands in for the play store where nothing is kept. It needs none of the libraries that keeping needs."""
+"""What stands in for the play store where nothing is kept. Needs none of the libraries that keeping needs."""
 
 from collections.abc import Callable
 
--- a/tests/sites/test_sites_fleet.py
+++ b/tests/sites/test_sites_fleet.py
@@ -52,7 +52,7 @@
         answers = [(await place.ask(viewer=f"v{i}"))[0] for i in range(4)]
         assert {a.status for a in answers} <= {200, 503} and answers[0].status == 200
         place.site("start")
-        await until(lambda: not place.watch().hidden)
+        await until(lambda: not place.watch().hidden_nodes)
         # cold: the module paces what has come back, whatever the list says of it
         now = place.fronts[0].driver.clock.now()
         assert all(now - module.nodes[name].cold_from < 20_000 * 10 for name in place.at())
@@ -70,7 +70,7 @@
         await until(lambda: place.state() == LOST)
         assert place.state("south") == WHOLE
         place.site("freeze", 0)
-        await until(lambda: not place.watch().hidden)
+        await until(lambda: not place.watch().hidden_nodes)
     finally:
         await place.close()
 
@@ -90,7 +90,7 @@
         assert not place.watch(0).sites.sites["north"].fleet and not place.watch(0).thinned
         for way in ("link:front-0>site:north", "link:site:north>front-0"):
             place.fleet.fault(way, "cut", 0)
-        await until(lambda: not place.watch(0).hidden)
+        await until(lambda: not place.watch(0).hidden_nodes)
     finally:
         await place.close()
 
@@ -157,7 +157,7 @@
         assert held <= driver.plays.keys()
         for way in ("link:*>site:north", "link:site:north>*"):
             place.fleet.fault(way, "cut", 0)
-        await until(lambda: not place.watch().hidden)
+        await until(lambda: not place.watch().hidden_nodes)
         there = {play for name in north for play in place.fleet.nodes[name].plays}
         assert held <= there & driver.plays.keys()
     finally:
