--- a/curlewhall/front/listing.py
+++ b/curlewhall/front/listing.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from urllib.parse import quote
 
-from curlewhall.errors import told
+from curlewhall.errors import describe
 from curlewhall.inventory.form import Inventory
 from curlewhall.start import Asks, Belief, Churn, Stamp, age, ready
 from curlewhall.start.decide import UNREADY
@@ -58,7 +58,7 @@
         self.driver, self.pool, self.front, self.kept = driver, pool, front, kept
         self.rows: dict[str, forms.Row] = {}
         self.titles: dict[str, forms.Title] = {}
-        self.asks = Asks(seed, driver.card.get("fronts", 1), helped)
+        self.asks = Asks(seed, driver.start_settings.get("fronts", 1), helped)
         self.lines, self.stream, self.silence, self.failing = forms.Lines(), None, None, False
         self.spoken, self.watcher = False, None  # whether the service has; the operators' files
         self.leaving = False  # the successor follows; what it hears is told to this front
@@ -88,8 +88,8 @@
         if self.kept and os.path.exists(self.kept) and not self.rows:
             try:
                 self.read(Path(self.kept))
-            except (OSError, forms.FormUnreadable) as err:
-                self.driver.log.warning("the kept list can't be read", why=told(err))
+            except (OSError, forms.DecodeError) as err:
+                self.driver.log.warning("the kept list can't be read", why=describe(err))
         wait = self.asks.begin(self.asks.life, self.version)
         if self.watcher is not None:
             self.watcher.start()
@@ -134,7 +134,7 @@
         self.driver.log.info("list from a peer", version=listing.version, age_s=round(seconds), whole=whole)
 
     def read(self, path: Path) -> None:
-        """Go by the kept list, as far as its age lets it be believed. `OSError`, `FormUnreadable`."""
+        """Go by the kept list, as far as its age lets it be believed. `OSError`, `DecodeError`."""
         old = forms.decode(forms.Listing, path.read_bytes())
         kept = old.kept or forms.Kept(unix_ms=int(path.stat().st_mtime * 1000))  # an earlier program's
         self.stamp = Stamp(kept.unix_ms, kept.boot, kept.steady_s)
@@ -169,18 +169,18 @@
     def tell_module(self, rows: list[forms.Row]) -> None:
         """Tell module and mover of nodes that may get plays now, or not any more; the list is as it was."""
         now, unix = self.driver.clock.now(), int(time.time() * 1000)
-        self.driver.listed("changes", [self.for_module(self.shown(row)) for row in rows])
-        self.driver.moves.listed(self.sure(self.rows.values()), now, unix)
+        self.driver.update_nodes("changes", [self.for_module(self.shown(row)) for row in rows])
+        self.driver.moves.nodes_listed(self.sure(self.rows.values()), now, unix)
         self.look_ready()
 
     def for_module(self, row: forms.Row):
         told = module_row(row, self.driver)
-        return told._replace(started=self.driver.sites.cold(row, told.started))
+        return told._replace(started=self.driver.sites.effective_start(row, told.started))
 
     @property
     def unsure(self) -> set[str]:
         """Nodes that get no plays, whatever the list says."""
-        return self.belief.unsure | self.driver.sites.hidden
+        return self.belief.unsure | self.driver.sites.hidden_nodes
 
     def sure(self, rows) -> list[forms.Row]:
         """Those that may get plays, as they are shown."""
@@ -226,8 +226,8 @@
         try:
             for line in self.lines.feed(piece):
                 self.line(forms.decode(forms.Listing, line))
-        except forms.FormUnreadable as err:
-            self.driver.log.warning("the list is malformed", why=told(err))
+        except forms.DecodeError as err:
+            self.driver.log.warning("the list is malformed", why=describe(err))
             self.driver.timers.after(0, self.stream.withdraw)
 
     def line(self, listing: forms.Listing) -> None:
@@ -279,7 +279,7 @@
         }
         self.version = listing.version
         self.driver.viewers.titles = self.titles
-        self.driver.sites.listed(rows, how != "changes")
+        self.driver.sites.nodes_listed(rows, how != "changes")
         rows, unsure = [self.shown(row) for row in rows], self.unsure
         # Danger: of a node that the module may still hold for serving, that it drains or is gone must be told
         left = [
@@ -289,8 +289,8 @@
         ]
         now, unix = self.driver.clock.now(), int(time.time() * 1000)
         self.driver.nodes.listed(rows, whole=how != "changes")  # first: the module may allocate at once
-        self.driver.listed(how, [self.for_module(row) for row in left])
-        self.driver.moves.listed(self.sure(self.rows.values()), now, unix)
+        self.driver.update_nodes(how, [self.for_module(row) for row in left])
+        self.driver.moves.nodes_listed(self.sure(self.rows.values()), now, unix)
         if self.tell is not None:
             self.tell(listing)
         self.driver.log.info("list", how=how, version=listing.version, rows=len(rows))
@@ -392,7 +392,7 @@
             return
         if not self.failing:
             self.failing = True
-            self.driver.listed("failed", [])
+            self.driver.update_nodes("failed", [])
             self.driver.log.warning("the list service is out of reach", how=reply.ending)
         self.outcome = True
         self.look_ready()
--- a/curlewhall/simhost/host.py
+++ b/curlewhall/simhost/host.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable, Iterable
 from typing import Any, TextIO
 
-from curlewhall.errors import Mishap
+from curlewhall.errors import CurlewhallError
 from curlewhall.interface import NodeRow
-from curlewhall.words import NOTES, card_of, report_of, tenths
+from curlewhall.platform_names import NOTE_KINDS, parse_load_report, start_settings_of, to_tenths
 
 ENDINGS = {
     "GOOD": "ok",
@@ -27,7 +27,7 @@
 LISTINGS = {"patch": "changes", "whole": "whole", "stale_copy": "old_copy", "broken": "failed"}
 
 
-class WireUnreadable(Mishap):
+class SimulatorMessageError(CurlewhallError):
     """The input breaks the wire's form."""
 
     remedy = (
@@ -56,7 +56,7 @@
     for part in rest.split():
         name, equals, value = part.partition("=")
         if not equals or not name:
-            raise WireUnreadable(f"{part!r} is not name=value")
+            raise SimulatorMessageError(f"{part!r} is not name=value")
         pairs[name] = value
     return tag, pairs
 
@@ -75,7 +75,7 @@
         pairs.get("shape", ""),
         state,
         float(pairs.get("power-hint", 1)),
-        tenths(pairs.get("came-up-ms", 0)),
+        to_tenths(pairs.get("came-up-ms", 0)),
     )
 
 
@@ -91,7 +91,7 @@
         "first_place": int(pairs.get("base", 0)),
         "places": int(pairs.get("copies", 0)),
         "top_rung": int(pairs.get("max-rung", 0)),
-        "length": None if guess is None else tenths(guess),
+        "length": None if guess is None else to_tenths(guess),
     }
 
 
@@ -117,10 +117,10 @@
                 tag, pairs = fields_of(line)
                 if tag == "sync":
                     if serial is not None:
-                        raise WireUnreadable("sync inside a batch")
-                    self.now, serial, self.reply = tenths(pairs["moment-ms"]), pairs["serial"], []
+                        raise SimulatorMessageError("sync inside a batch")
+                    self.now, serial, self.reply = to_tenths(pairs["moment-ms"]), pairs["serial"], []
                 elif serial is None:
-                    raise WireUnreadable(f"{tag!r} outside a batch")
+                    raise SimulatorMessageError(f"{tag!r} outside a batch")
                 elif tag == "go":
                     self.reply.append(f"done serial={serial}\n")
                     self.out.write("\n".join(self.reply))
@@ -131,15 +131,15 @@
                 else:
                     self.event(tag, pairs)
             except KeyError as err:
-                raise WireUnreadable(
+                raise SimulatorMessageError(
                     f"line {number}: field {err.args[0]!r} is missing: {line[:200]}"
                 ) from None
             except (ValueError, binascii.Error) as err:
-                raise WireUnreadable(f"line {number}: {err}: {line[:200]}") from None
-            except WireUnreadable as err:
-                raise WireUnreadable(f"line {number}: {err}: {line[:200]}") from None
+                raise SimulatorMessageError(f"line {number}: {err}: {line[:200]}") from None
+            except SimulatorMessageError as err:
+                raise SimulatorMessageError(f"line {number}: {err}: {line[:200]}") from None
         if serial is not None:
-            raise WireUnreadable("the input ends inside a batch")
+            raise SimulatorMessageError("the input ends inside a batch")
 
     def rows(self, source: Iterable[tuple[int, str]], count: int) -> list[NodeRow]:
         rows = []
@@ -147,7 +147,7 @@
             number, line = next(source, (0, ""))
             tag, pairs = fields_of(line.rstrip("\r\n"))
             if tag != "row":
-                raise WireUnreadable(
+                raise SimulatorMessageError(
                     f"{count} rows announced, row {len(rows) + 1} (line {number}) is {tag!r}"
                 )
             row = row_of(pairs)
@@ -159,15 +159,17 @@
         """Turn one event into one call and write down what is answered."""
         at, now = pairs["i"], self.now
         if tag == "born":
-            seed, card = int(pairs["rng-seed"]), json.loads(pairs["config"])
-            self.call(at, lambda: self.fronts.update({at: self.make(now, seed, card_of(card))}) or ())
+            seed, settings = int(pairs["rng-seed"]), json.loads(pairs["config"])
+            self.call(
+                at, lambda: self.fronts.update({at: self.make(now, seed, start_settings_of(settings))}) or ()
+            )
             return
         if tag == "power_off":
             self.fronts.pop(at, None)
             return
         front = self.fronts.get(at)
         if front is None:
-            raise WireUnreadable(f"{tag!r} for instance {at}, which is not running")
+            raise SimulatorMessageError(f"{tag!r} for instance {at}, which is not running")
         self.tell(at, front, tag, pairs, now)
 
     def tell(self, at: str, front: Any, tag: str, pairs: dict[str, str], now: int) -> None:
@@ -181,7 +183,7 @@
                 at,
                 front.asked,
                 now,
-                limit=tenths(pairs["valid-until-ms"]),
+                limit=to_tenths(pairs["valid-until-ms"]),
                 moved=flag(pairs.get("was-moved", "0")),
                 again=flag(pairs.get("came-back", "0")),
                 **play_of(pairs),
@@ -196,7 +198,7 @@
                 pairs["ticket"],
                 int(pairs["trial"]),
                 pairs["node"],
-                tenths(pairs.get("lag-ms", 0)),
+                to_tenths(pairs.get("lag-ms", 0)),
             )
         elif tag == "answer":
             self.call(
@@ -208,11 +210,11 @@
                 pairs["node"],
                 ending_of(pairs["rc"]),
                 flag(pairs.get("final", "0")),
-                tenths(pairs.get("lag-ms", 0)),
-                report_of(pairs.get("report", ""), ","),
+                to_tenths(pairs.get("lag-ms", 0)),
+                parse_load_report(pairs.get("report", ""), ","),
             )
         elif tag == "progress":
-            kind = NOTES.get(int(pairs["topic"]))
+            kind = NOTE_KINDS.get(int(pairs["topic"]))
             if kind:
                 self.call(
                     at,
@@ -231,8 +233,8 @@
                 now,
                 pairs["node"],
                 ending_of(pairs["rc"]),
-                tenths(pairs.get("lag-ms", 0)),
-                report_of(pairs.get("report", ""), ","),
+                to_tenths(pairs.get("lag-ms", 0)),
+                parse_load_report(pairs.get("report", ""), ","),
             )
         elif tag == "message":
             self.call(at, front.told, now, int(pairs["by"]), octets(pairs.get("octets", "-")))
--- a/curlewhall/wire/forms.py
+++ b/curlewhall/wire/forms.py
@@ -7,18 +7,18 @@
 
 import msgspec
 
-from curlewhall.errors import Mishap
+from curlewhall.errors import CurlewhallError
 
 LINE = 4 << 20  # bytes of one line of a stream at most: a hello that names 10,000 plays is half of that
 
 
-class FormUnreadable(Mishap):
+class DecodeError(CurlewhallError):
     """What came is not of its form."""
 
     remedy = "See that both sides run versions that know each other; what was unreadable is left out."
 
 
-class Facts(msgspec.Struct, frozen=True):
+class PlayInfo(msgspec.Struct, frozen=True):
     """What a node keeps of a play for the front that holds it, and gives back to one that starts anew."""
 
     play: str
@@ -36,7 +36,7 @@
     """POST /v1/plays: set a play up, within `span_ms`."""
 
     front: str
-    facts: Facts
+    facts: PlayInfo
     span_ms: float
 
 
@@ -69,7 +69,7 @@
     """POST /v1/offer, at a front: take over this play, which plays at `node`."""
 
     front: str
-    facts: Facts
+    facts: PlayInfo
     node: str
 
 
@@ -91,7 +91,7 @@
     value: float = 0.0
     how: str = ""
     node: str = ""
-    plays: list[Facts] = []
+    plays: list[PlayInfo] = []
 
 
 class Row(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -175,18 +175,18 @@
 
 
 def decode(form: type, data: bytes):
-    """`data` as a `form`, or `FormUnreadable` with what is wrong."""
+    """`data` as a `form`, or `DecodeError` with what is wrong."""
     decoder = _decoders.get(form)
     if decoder is None:
         decoder = _decoders[form] = msgspec.json.Decoder(form)
     try:
         return decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as err:
-        raise FormUnreadable(str(err)) from None
+        raise DecodeError(str(err)) from None
 
 
 class Lines:
-    """Cuts a stream into its lines; `FormUnreadable` for one without end."""
+    """Cuts a stream into its lines; `DecodeError` for one without end."""
 
     def __init__(self) -> None:
         self.rest = b""
@@ -194,5 +194,5 @@
     def feed(self, data: bytes) -> list[bytes]:
         *lines, self.rest = (self.rest + data).split(b"\n")
         if len(self.rest) > LINE:
-            raise FormUnreadable("a line without end")
+            raise DecodeError("a line without end")
         return [line for line in lines if line]
--- a/tests/relay/town.py
+++ b/tests/relay/deployment.py
@@ -9,8 +9,8 @@
 from test_simhost import CONFIG
 
 from curlewhall.codecs import messages
-from curlewhall.relay import card
-from curlewhall.relay.absent import Log
+from curlewhall.relay import start_settings
+from curlewhall.relay.null_objects import Log
 from curlewhall.relay.serve import Relay
 from curlewhall.standins.platform import RST, Platform
 
@@ -112,7 +112,7 @@
     )
 
 
-class Town:
+class Deployment:
     """`relay` on `port`; `platform` around it. `clock`: a clock that stands still, see `advance`."""
 
     def __init__(self, nodes=("n0", "n1", "n2", "n3"), does="serve", clock=None, **changes):
@@ -137,7 +137,9 @@
         await self.platform.channel.start()
         self.port, self.file = free_port(), tmp_path / "config.json"
         self.file.write_text(json.dumps(self.config(self.port, sockets)))
-        given = card.read({"RELAY_CONFIG": str(self.file), "RELAY_LISTEN": f"127.0.0.1:{self.port}"})
+        given = start_settings.read(
+            {"RELAY_CONFIG": str(self.file), "RELAY_LISTEN": f"127.0.0.1:{self.port}"}
+        )
         self.relay = Relay(given, Log(self))
         if self.clock is not None:
             self.relay.driver.clock.source = self.clock
@@ -184,8 +186,8 @@
 
 
 @contextlib.asynccontextmanager
-async def town(tmp_path, sockets=256, **facts):
-    place = Town(**facts)
+async def deployment(tmp_path, sockets=256, **facts):
+    place = Deployment(**facts)
     try:
         yield await place.start(tmp_path, sockets)
     finally:
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from curlewhall.settings import WrongFile, load, parse, rate_card
+from curlewhall.settings import SettingsError, load, parse, start_settings
 
 
 @pytest.fixture
@@ -29,23 +29,27 @@
 
 
 def test_a_sound_file_becomes_the_rate_card_in_the_modules_words_and_tenths(sound):
-    card = rate_card(parse(sound))
-    assert card["products"][0] == {
+    settings = start_settings(parse(sound))
+    assert settings["products"][0] == {
         "name": "dear",
         "importance": 2.0,
         "idempotency": "side_effect",
         "first_frame_target": 10_000,
         "time_limit": 30_000,
     }
-    assert (card["specifics.floor_by_class"], card["specifics.highest_rung"]) == ([1, 0], [2, 2])
-    assert (card["rules.warm_within"], card["report.how"], card["fronts"]) == (120_000, "inline", 2)
-    assert "rules.look_back" not in card
+    assert (settings["specifics.floor_by_class"], settings["specifics.highest_rung"]) == ([1, 0], [2, 2])
+    assert (settings["rules.warm_within"], settings["report.how"], settings["fronts"]) == (
+        120_000,
+        "inline",
+        2,
+    )
+    assert "rules.look_back" not in settings
 
 
 def test_the_rate_card_starts_the_module(sound):
     from curlewhall.policy import Front
 
-    assert Front(0, 1, rate_card(parse(sound))).listed(0, "whole", []) == []
+    assert Front(0, 1, start_settings(parse(sound))).listed(0, "whole", []) == []
 
 
 @pytest.mark.parametrize(
@@ -143,7 +147,7 @@
 )
 def test_a_wrong_file_is_refused_with_its_place(sound, old, new, line, column, field, words):
     assert old in sound
-    with pytest.raises(WrongFile) as caught:
+    with pytest.raises(SettingsError) as caught:
         parse(sound.replace(old, new, 1), "f")
     complaint = caught.value.complaints[0]
     assert (complaint.line, complaint.where) == (line, field) and words in str(complaint)
@@ -151,7 +155,7 @@
 
 
 def test_all_complaints_are_told_at_once(sound):
-    with pytest.raises(WrongFile) as caught:
+    with pytest.raises(SettingsError) as caught:
         parse(sound.replace("8080", "0").replace("floor: 1", "floor: 9").replace("0.4", "4"))
     assert [c.line for c in caught.value.complaints] == [2, 7, 14]
 
@@ -171,14 +175,14 @@
     else:
         key.chmod(mode)
         key.write_bytes(b"k" * size)
-    with pytest.raises(WrongFile, match=words):
+    with pytest.raises(SettingsError, match=words):
         parse(sound)
 
 
 def test_bytes_that_are_no_text_are_refused_with_their_place(tmp_path):
     path = tmp_path / "f"
     path.write_bytes(b'identity {\n name: "\xff" }')
-    with pytest.raises(WrongFile, match="line 2, column 9: found byte 0xff, expected text in UTF-8"):
+    with pytest.raises(SettingsError, match="line 2, column 9: found byte 0xff, expected text in UTF-8"):
         load(path)
 
 
--- a/tests/sites/test_sites_fleet.py
+++ b/tests/sites/test_sites_fleet.py
@@ -3,14 +3,14 @@
 import asyncio
 
 import pytest
-from front.town import Town, until
+from front.deployment import Deployment, until
 from loopback import looped
 
 from curlewhall.drills.fleet import add_links
 from curlewhall.sites.state import LOST, WHOLE
 
 
-class Halls(Town):
+class Halls(Deployment):
     """Eight nodes in two zones, several fronts that share keys."""
 
     def __init__(self, folder, fronts=1, links=False):
@@ -52,7 +52,7 @@
         answers = [(await place.ask(viewer=f"v{i}"))[0] for i in range(4)]
         assert {a.status for a in answers} <= {200, 503} and answers[0].status == 200
         place.site("start")
-        await until(lambda: not place.watch().hidden)
+        await until(lambda: not place.watch().hidden_nodes)
         # cold: the module paces what has come back, whatever the list says of it
         now = place.fronts[0].driver.clock.now()
         assert all(now - module.nodes[name].cold_from < 20_000 * 10 for name in place.at())
@@ -70,7 +70,7 @@
         await until(lambda: place.state() == LOST)
         assert place.state("south") == WHOLE
         place.site("freeze", 0)
-        await until(lambda: not place.watch().hidden)
+        await until(lambda: not place.watch().hidden_nodes)
     finally:
         await place.close()
 
@@ -90,7 +90,7 @@
         assert not place.watch(0).sites.sites["north"].fleet and not place.watch(0).thinned
         for way in ("link:front-0>site:north", "link:site:north>front-0"):
             place.fleet.fault(way, "cut", 0)
-        await until(lambda: not place.watch(0).hidden)
+        await until(lambda: not place.watch(0).hidden_nodes)
     finally:
         await place.close()
 
@@ -146,7 +146,7 @@
         for i in range(6):
             await place.ask(viewer=f"v{i}")
         driver, north = place.fronts[0].driver, place.at("north")
-        held = {play for play, h in driver.plays.items() if h.node in north and h.playing is not None}
+        held = {play for play, h in driver.plays.items() if h.node in north and h.playing_number is not None}
         assert held
         for way in ("link:*>site:north", "link:site:north>*"):
             place.fleet.fault(way, "cut", 1)
@@ -157,7 +157,7 @@
         assert held <= driver.plays.keys()
         for way in ("link:*>site:north", "link:site:north>*"):
             place.fleet.fault(way, "cut", 0)
-        await until(lambda: not place.watch().hidden)
+        await until(lambda: not place.watch().hidden_nodes)
         there = {play for name in north for play in place.fleet.nodes[name].plays}
         assert held <= there & driver.plays.keys()
     finally:
@@ -170,7 +170,7 @@
     try:
         watch, driver = place.watch(), place.fronts[0].driver
         await place.ask(product="dear")
-        held = next(h for h in driver.plays.values() if h.playing is not None)
+        held = next(h for h in driver.plays.values() if h.playing_number is not None)
         driver.plays = {f"p{i}": held for i in range(5000)}
         watch.round, watch.left = iter(()), 0
         told = []
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -4,11 +4,11 @@
 import json
 
 import pytest
-from conftest import card
+from conftest import start_settings
 
+from curlewhall.platform_names import to_tenths
 from curlewhall.policy import Front
-from curlewhall.simhost.host import Host, WireUnreadable, millis
-from curlewhall.words import tenths
+from curlewhall.simhost.host import Host, SimulatorMessageError, millis
 
 CONFIG = json.dumps(
     {
@@ -108,7 +108,7 @@
         12.37, *BORN
     )
     assert seen["seed"] == 7 and seen["now"] == 123
-    for name, value in card().items():
+    for name, value in start_settings().items():
         if name not in ("products", "permissions.peer_messages"):
             assert seen[name] == value, name
     assert [p["time_limit"] for p in seen["products"]] == [30_000] * 3
@@ -194,7 +194,7 @@
     )
     assert wire.host.fronts["3"].nodes["n1"].row.state == "gone"
     assert wire.say(22_000, "power_off i=3") == [] and not wire.host.fronts
-    with pytest.raises(WireUnreadable, match="instance 3, which is not running"):
+    with pytest.raises(SimulatorMessageError, match="instance 3, which is not running"):
         wire.say(23_000, SUBMIT.format("c", "dear", 25_000))
 
 
@@ -245,7 +245,7 @@
     ],
 )
 def test_what_breaks_the_form_is_told_with_its_line(lines, words):
-    with pytest.raises(WireUnreadable, match=words):
+    with pytest.raises(SimulatorMessageError, match=words):
         Host(lambda *facts: None, io.StringIO()).run(lines)
 
 
@@ -254,4 +254,4 @@
     [("0", 0), ("1.25", 12), ("0.3", 3), ("2999.95", 29_999), ("99999999999.9", 999_999_999_999)],
 )
 def test_time_limits_never_grow_on_the_way(text, value):
-    assert tenths(text) == value and float(millis(value)) <= float(text)
+    assert to_tenths(text) == value and float(millis(value)) <= float(text)
