--- a/bench/moves.py
+++ b/bench/moves.py
@@ -15,7 +15,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from curlewhall.moves import IndexedHeap, Mover  # noqa: E402
-from curlewhall.moves.decide import Room  # noqa: E402
+from curlewhall.moves.decide import NodeInfo  # noqa: E402
 
 S = 10_000
 START_SETTINGS = {
@@ -39,11 +39,11 @@
         self.rows, self.held = [], {}
 
     def put(self, name, priority):
-        self.drop(name)
+        self.remove(name)
         self.held[name] = priority
         bisect.insort(self.rows, (priority, name))
 
-    def drop(self, name):
+    def remove(self, name):
         if name in self.held:
             del self.rows[bisect.bisect_left(self.rows, (self.held.pop(name), name))]
 
@@ -62,7 +62,7 @@
     def put(self, name, priority):
         self.held[name] = priority
 
-    def drop(self, name):
+    def remove(self, name):
         self.held.pop(name, None)
 
     def pop(self):
@@ -79,7 +79,7 @@
     for _ in range(count):
         rows.put(rng.randrange(count), (False, -1.0, rng.random()))
     for i in range(0, count, 10):
-        rows.drop(i)
+        rows.remove(i)
     for _ in range(count - len(range(0, count, 10))):
         rows.pop()
     return (time.perf_counter() - began) / (3 * count) * 1e6
@@ -89,31 +89,31 @@
     """Microseconds an event of a whole drain: (cost, events, moved)."""
     rng, now, events = random.Random(2), 100 * S, 0
     mover = Mover(now, START_SETTINGS, 600 * S)
-    rows = {f"n{i}": Room(i, i % 34, "serving", 1e8, 0) for i in range(nodes)}
-    mover.listed(now, dict(rows))
+    rows = {f"n{i}": NodeInfo(i, i % 34, "serving", 1e8, 0) for i in range(nodes)}
+    mover.nodes_listed(now, dict(rows))
     began = time.perf_counter()
     for i in range(count):
-        mover.playing(now, f"p{i}", "n0", rng.choice([1.0, 2.0]), i % 5 == 0, 100.0, (0, 1, 2), None)
-        mover.buffer(now, f"p{i}", rng.uniform(0, 6))
+        mover.play_started(now, f"p{i}", "n0", rng.choice([1.0, 2.0]), i % 5 == 0, 100.0, (0, 1, 2), None)
+        mover.buffer_reported(now, f"p{i}", rng.uniform(0, 6))
         events += 2
     rows["n0"] = rows["n0"]._replace(state="draining")
-    pending, moved = list(mover.listed(now, dict(rows))), 0
-    while mover.at["n0"] and now < 700 * S:
+    pending, moved = list(mover.nodes_listed(now, dict(rows))), 0
+    while mover.plays_by_node["n0"] and now < 700 * S:
         now += 200
         for i in range(1, nodes, 10):  # reports come in all the time
-            mover.report(now, f"n{i}", "link_asked", 0.3)
-            mover.report(now, f"n{i}", "uplink_asked", 0.3)
+            mover.node_reported(now, f"n{i}", "link_asked", 0.3)
+            mover.node_reported(now, f"n{i}", "uplink_asked", 0.3)
             events += 2
         play = f"p{rng.randrange(count)}"
-        pending += mover.buffer(now, play, rng.uniform(0, 6))
+        pending += mover.buffer_reported(now, play, rng.uniform(0, 6))
         pending += mover.wake(now)
         events += 2
         for verb, name, *_ in pending:
-            if verb == "look":
-                mover.looked(now, name, True)
-                mover.ended_there(now, name)
-                mover.ended(now, name)
-                mover.arrived(now, name)
+            if verb == "check_room":
+                mover.room_checked(now, name, True)
+                mover.end_confirmed(now, name)
+                mover.play_ended(now, name)
+                mover.move_succeeded(now, name)
                 events, moved = events + 3, moved + 1
         pending = []
     return (time.perf_counter() - began) / events * 1e6, events, moved
--- a/curlewhall/console/view.py
+++ b/curlewhall/console/view.py
@@ -34,24 +34,24 @@
     zones: dict[str, dict[int, list]] = defaultdict(lambda: defaultdict(list))
     for name, node in sorted(front.nodes.nodes.items()):
         row = front.follower.shown(node.row)
-        heard = mover.heard.get(name)
-        known = heard is not None and now - heard.at <= FRESH
+        load = mover.node_loads.get(name)
+        known = load is not None and now - load.reported_at <= FRESH
         state = row.state if row.state != "serving" or node.stream is not None and node.greeted else "silent"
         zones[row.zone][row.place % racks].append(
             {
                 "node": name,
                 "state": state,
-                "plays": len(mover.at.get(name, ())),
-                "full": part(heard.full) if known else None,
+                "plays": len(mover.plays_by_node.get(name, ())),
+                "full": part(load.reported_load) if known else None,
             }
         )
     found = []
     for zone, by_rack in sorted(zones.items()):
         rows = []
         for rack, nodes in sorted(by_rack.items()):
-            heard = mover.racks.get(rack)
-            known = heard is not None and now - heard.at <= FRESH
-            rows.append({"rack": rack, "nodes": nodes, "full": part(heard.full) if known else None})
+            load = mover.rack_loads.get(rack)
+            known = load is not None and now - load.reported_at <= FRESH
+            rows.append({"rack": rack, "nodes": nodes, "full": part(load.reported_load) if known else None})
         found.append(
             {
                 "zone": zone,
@@ -83,8 +83,9 @@
         "address": front.viewers.url,
         "taking": front.viewers.open,
         "counts": dict(counts),
-        "held": sum(len(plays) for plays in driver.moves.mover.at.values()),
-        "setting_up": len(driver.plays) - sum(len(plays) for plays in driver.moves.mover.at.values()),
+        "held": sum(len(plays) for plays in driver.moves.mover.plays_by_node.values()),
+        "setting_up": len(driver.plays)
+        - sum(len(plays) for plays in driver.moves.mover.plays_by_node.values()),
         "connections": len(front.server.connections) if front.server else 0,
         "declines": sorted(
             ((CAUSES.get(stage, stage), count) for stage, count in stages.items()), key=lambda row: -row[1]
--- a/curlewhall/daemon/handover.py
+++ b/curlewhall/daemon/handover.py
@@ -18,7 +18,7 @@
 
 from curlewhall.front.driver import ActivePlay
 from curlewhall.front.nodes import module_row
-from curlewhall.moves.decide import FRESH
+from curlewhall.moves.decide import REPORT_MAX_AGE_TICKS
 from curlewhall.recovery.state import Entry, State
 from curlewhall.recovery.store import Memory
 from curlewhall.wire import forms
@@ -194,15 +194,15 @@
         mover, now = self.driver.moves.mover, self.driver.clock.now()
         late = self.driver.start_settings["specifics.told_late"]
         found = [
-            (heard.at + late, name, "link_asked", heard.full)
-            for name, heard in mover.heard.items()
-            if now - heard.at <= FRESH
+            (load.reported_at + late, name, "link_asked", load.reported_load)
+            for name, load in mover.node_loads.items()
+            if now - load.reported_at <= REPORT_MAX_AGE_TICKS
         ]
-        racks = {room.rack: name for name, room in mover.rooms.items()}
+        racks = {info.rack: name for name, info in mover.nodes.items()}
         found += [
-            (heard.at + late, racks[rack], "uplink_asked", heard.full)
-            for rack, heard in mover.racks.items()
-            if now - heard.at <= FRESH and rack in racks
+            (load.reported_at + late, racks[rack], "uplink_asked", load.reported_load)
+            for rack, load in mover.rack_loads.items()
+            if now - load.reported_at <= REPORT_MAX_AGE_TICKS and rack in racks
         ]
         return sorted(found)
 
@@ -374,7 +374,7 @@
                 driver.dispatch_at(at, "note", "", 0, *fact)
         driver.moves.nodes_listed([row for row in shown if row.state != "gone"], now, unix)
         for at, name, kind, value in self.reports:
-            driver.moves.mover.report(at, name, kind, value)
+            driver.moves.mover.node_reported(at, name, kind, value)
         for name, count in self.counts.items():
             driver.counts[name] = count
         for ply in self.plays:
--- a/curlewhall/drills/movers.py
+++ b/curlewhall/drills/movers.py
@@ -6,33 +6,33 @@
 class AllAtOnce(Mover):
     """Ends every play of a draining node in the same moment, without asking whether there is room."""
 
-    def most_out(self):
+    def max_concurrent_moves(self):
         return 1 << 30
 
-    def holder(self, now, seat):
+    def has_target(self, now, tracked):
         return True
 
-    def declined(self, now, play, limit):
+    def move_declined(self, now, play, limit):
         return ()
 
-    def consider(self, now, play, seat, plan):
-        if not seat.out:
-            plan.ready.put(play, self.rank(seat))
+    def schedule(self, now, play, tracked, plan):
+        if not tracked.phase:
+            plan.ready.put(play, self.priority(tracked))
 
-    def work(self, now):
-        self.next_at = now
+    def next_actions(self, now):
+        self.next_move_at = now
         out = []
         while True:
-            begun = super().work(now)
-            self.next_at = now
-            if not begun:
+            actions = super().next_actions(now)
+            self.next_move_at = now
+            if not actions:
                 return out
-            for answer in begun:
-                out += self.looked(now, answer[1], True) if answer[0] == "look" else [answer]
+            for action in actions:
+                out += self.room_checked(now, action[1], True) if action[0] == "check_room" else [action]
 
 
 class Stay(Mover):
     """Moves nobody: viewers come again by themselves when the node stops."""
 
-    def drain(self, now, node, deadline=None):
+    def start_drain(self, now, node, deadline=None):
         return None
--- a/curlewhall/front/nodes.py
+++ b/curlewhall/front/nodes.py
@@ -289,7 +289,7 @@
         elif event.kind == "ended":
             self.driver.play_ended(event.play, event.how if event.how in ("ok", "broken") else "withdrawn")
         elif event.kind == "buffer":
-            self.driver.moves.buffer(event.play, event.value)
+            self.driver.moves.buffer_reported(event.play, event.value)
         elif event.kind in NOTES:
             self.driver.play_noted(event.play, name, event.kind, event.value)
 
--- a/curlewhall/front/serve.py
+++ b/curlewhall/front/serve.py
@@ -17,7 +17,7 @@
 from curlewhall.inventory.run import Files, Watcher
 from curlewhall.members.run import Membership
 from curlewhall.moves import Mover
-from curlewhall.moves.run import Moves
+from curlewhall.moves.run import MoveExecutor
 from curlewhall.recovery.form import NewerFormatError
 from curlewhall.recovery.run import PlayStore
 from curlewhall.recovery.state import State
@@ -138,7 +138,7 @@
                 self.timers,
                 log,
                 self.peers.send,
-                lambda: sum(len(plays) for plays in self.driver.moves.mover.at.values()),
+                lambda: sum(len(plays) for plays in self.driver.moves.mover.plays_by_node.values()),
             )
         service = (
             None
@@ -171,10 +171,10 @@
                 self.driver.clock,
                 log,
                 self.follower.from_files,
-                lambda node: len(self.driver.moves.mover.at.get(node, ())),
+                lambda node: len(self.driver.moves.mover.plays_by_node.get(node, ())),
                 self.follower.as_inventory,
             )
-        self.driver.moves = Moves(
+        self.driver.moves = MoveExecutor(
             self.driver, self.timers, (mover or Mover)(self.driver.clock.now(), settings, drain_within)
         )
         self.server = self.console = None
--- a/curlewhall/moves/__init__.py
+++ b/curlewhall/moves/__init__.py
@@ -1,7 +1,8 @@
-"""Moving Without a Gap: plays leave a draining node, one after the other, and their viewers do not see it.
+"""Moves plays off draining nodes without a gap that their viewers would notice.
 
-`decide.Mover` says when, in which order and how many at once; the module still says where a moved play goes.
-`heap` keeps thousands of plays in order, `run` carries the answers out. See `docs/moves/design.md`.
+`decide.Mover` decides when, in which order and how many plays move at once; the placement module still
+decides where a moved play goes. `heap` is the priority queue behind it, and `run` executes its actions.
+See `docs/moves/design.md`.
 """
 
 from .decide import Mover
--- a/curlewhall/moves/decide.py
+++ b/curlewhall/moves/decide.py
@@ -1,18 +1,20 @@
-"""When a play leaves a draining node, in which order, and how many at once. No I/O, no clock, no task.
-
-Called once for each thing that happens with `now` (whole tenths of a millisecond); answers are tuples, the
-verb first, to be carried out in their order:
-
-- `("look", play)`: ask the module, without effect, whether it would place the play now. Told by `looked`.
-- `("end", play)`: end it at its node. What comes of it is told by `ended_there` or `kept`.
-- `("ask", play)`: ask the module for a new place, as moved. Told by `arrived`, `declined` or `lost`.
-- `("again", play, span)`: the same once more after `span`, while its viewer's buffer lasts.
-- `("leave", play, why)`: it stays; its viewer comes again by itself when the node stops.
-- `("wake", span)`: call `wake` then.
-
-Danger: a move that is declined is a viewer lost. So nothing is ended before a holder shows room for it, by
-this front's reckoning of what all fronts move and by the module's own; and the old allocation has provably
-ended before the new one is asked for, so that never two are out.
+"""Decides when a play leaves a draining node, in which order, and how many move at once. Does no I/O.
+
+The caller (`run.MoveExecutor`) reports each event with `now`, in ticks of 0.1 ms, the unit of all times here.
+The event methods return actions, tuples that start with the action's name, to be executed in order:
+
+- `("check_room", play)`: ask the module, without side effects, whether it would place the play now; report
+  the result with `room_checked`.
+- `("end", play)`: end the play at its node; report the result with `end_confirmed` or `end_unconfirmed`.
+- `("request_place", play)`: ask the module for a new place, marked as a move; report the result with
+  `move_succeeded`, `move_declined` or `move_failed`.
+- `("retry", play, delay)`: request a place again after `delay`.
+- `("leave", play, why)`: the play stays on the node; its viewer asks again when the node stops.
+- `("wake", delay)`: call `wake` after `delay`.
+
+A declined move loses a viewer. So no play is ended before a node that holds its title shows room for it, both
+by this mover's estimate of what all fronts move and by the module's own check. And a new place is requested
+only after the old allocation has provably ended, so that a play never has two allocations.
 """
 
 from collections import deque
@@ -22,398 +24,496 @@
 
 from .heap import IndexedHeap
 
-SECOND = 10_000
-FRESH = 5 * SECOND  # a report older than that says nothing; the module reckons alike
-KEPT = 0.15  # of link and uplink kept for new plays; the module fills up to 0.9, so moves are never its last
-BRIDGE = 3 * SECOND // 2  # of buffer bridge a set-up, a reload of the manifest and a segment's first half
-FRACTION = 0.5  # of a node's streams, at which the design's cap on the least product begins
-LAST = 5 * SECOND  # so long before the deadline an empty buffer is no reason to wait any more
-FIRST_PAUSE, LONGEST_PAUSE = SECOND // 2, 4 * SECOND  # after a try that found no room; doubled each time
-TRIES = 8  # with the pauses above: some 25 s, about as long as an operator waits for a drain
-MOST_OUT = 8  # moves of one front under way at once; the fleet's part may be less
-# A move declined all the same is asked for again while its viewer has so much in hand: a set-up, a segment.
-FIRST_AGAIN, IN_HAND = SECOND // 10, SECOND  # a report that shows a full holder changes within some 400 ms
-SHORTEST, LONGEST = 200, SECOND // 2  # between two moves: 20 ms spares the loop, half a second keeps in step
-
-
-class Room(NamedTuple):
-    """A listed node, as far as moves care."""
+TICKS_PER_SECOND = 10_000
+REPORT_MAX_AGE_TICKS = 5 * TICKS_PER_SECOND  # older load reports are ignored, as the module does
+# Share of link and uplink that moves leave free for new plays; the module fills them up to 0.9.
+RESERVED_SHARE = 0.15
+# Buffer that bridges a set-up, a reload of the manifest and half of the first segment.
+MIN_BUFFER_TICKS = 3 * TICKS_PER_SECOND // 2
+MAX_COUNTED_BUFFER_TICKS = 30 * TICKS_PER_SECOND  # larger buffers count as this
+LEAST_PRODUCT_CAP_SHARE = 0.5  # of a node's streams, above which the module caps the least important product
+FINAL_PHASE_TICKS = 5 * TICKS_PER_SECOND  # before the deadline, in which plays with a low buffer move as well
+# Delay after an attempt that found no room; doubles with each attempt.
+MIN_RETRY_DELAY_TICKS = TICKS_PER_SECOND // 2
+MAX_RETRY_DELAY_TICKS = 4 * TICKS_PER_SECOND
+MAX_ATTEMPTS = 8  # about 25 s with the delays above: roughly as long as an operator waits for a drain
+MAX_CONCURRENT_MOVES = 8  # of one front; its share of the fleet's limit may be smaller
+# A declined move is retried while the viewer's buffer still covers a set-up and a segment.
+# Doubles with each request up to 800 ms; a report that shows a full node changes within about 400 ms.
+DECLINED_RETRY_DELAY_TICKS = TICKS_PER_SECOND // 10
+BUFFER_MARGIN_TICKS = TICKS_PER_SECOND
+MIN_MOVE_INTERVAL_TICKS = 200  # 20 ms, to keep the event loop free
+MAX_MOVE_INTERVAL_TICKS = TICKS_PER_SECOND // 2  # so that the pace follows the time that remains
+
+
+class NodeInfo(NamedTuple):
+    """What the mover knows of a listed node."""
 
     place: int
     rack: int
     state: str
-    link: float  # kB a second
-    started: int  # 0: long past
+    link: float  # kB/s
+    started: int  # ticks; 0: long ago
 
 
-class Seat:
-    """A play that this front holds: where, what it needs, what its viewer has in hand."""
+class TrackedPlay:
+    """A play that this front holds on a node."""
 
     __slots__ = (
         "node",
         "importance",
-        "paid",
+        "has_side_effect",
         "rate",
-        "cells",
-        "ends",
+        "places",
+        "ends_at",
         "buffer",
-        "tries",
-        "out",
-        "asks",
-        "lasts",
+        "attempts",
+        "phase",
+        "place_requests",
+        "buffer_until",
     )
 
-    def __init__(self, node, importance, paid, rate, cells, ends) -> None:
-        self.node, self.importance, self.paid, self.rate = node, importance, paid, rate
-        self.cells, self.ends = cells, ends
-        self.buffer, self.tries, self.out = None, 0, ""  # out: "look", "end" or "ask", as told above
-        self.asks, self.lasts = 0, 0  # asked for so often; until when its viewer bridges the gap
-
-
-class Plan:
-    """A drain under way: who waits, and how it went so far."""
+    def __init__(
+        self,
+        node: str,
+        importance: float,
+        has_side_effect: bool,
+        rate: float,
+        places: tuple[int, ...],
+        ends_at: int | None,
+    ) -> None:
+        self.node = node
+        self.importance = importance
+        self.has_side_effect = has_side_effect
+        self.rate = rate  # kB/s
+        self.places = places  # places whose nodes hold the title
+        self.ends_at = ends_at
+        self.buffer: int | None = None  # ticks of video the viewer has buffered; None: unknown
+        self.attempts = 0
+        self.phase = ""  # "", "check_room", "end" or "request_place": the action whose result is awaited
+        self.place_requests = 0
+        self.buffer_until = 0  # until when the viewer's buffer covers the move
+
+
+class DrainPlan:
+    """A drain in progress: the plays that wait for their move, and the results so far."""
 
     def __init__(self, now: int, deadline: int) -> None:
-        self.began, self.deadline = now, deadline
-        self.ready, self.later = IndexedHeap(), IndexedHeap()  # by rank; by when to look again
+        self.started_at = now
+        self.deadline = deadline
+        self.ready = IndexedHeap()  # by `priority`
+        self.deferred = IndexedHeap()  # by the time of the next attempt
         self.moved = self.lost = self.left = 0
-        self.emptied: int | None = None
+        self.emptied_at: int | None = None
 
 
-class Heard:
-    """What a node or rack is asked for, from its last report and what this front has placed there since."""
+class LoadEstimate:
+    """Load of a node's link or a rack's uplink: the last report and what this front has placed since then."""
 
     def __init__(self) -> None:
-        self.full, self.at, self.placed = 0.0, -FRESH * 9, Changes(2 * FRESH)
+        self.reported_load = 0.0  # demand divided by capacity
+        self.reported_at = -REPORT_MAX_AGE_TICKS * 9  # no report yet
+        self.placed = Changes(2 * REPORT_MAX_AGE_TICKS)  # kB/s
 
 
 class Mover:
-    """One front's moves. `terms`: the start settings; `drain_within` the time that a drain may take."""
-
-    def __init__(self, now: int, terms: dict, drain_within: int) -> None:
-        self.terms, self.drain_within = terms, drain_within
-        self.least = min((p["importance"] for p in terms["products"]), default=0.0)
-        self.rooms: dict[str, Room] = {}
-        self.cells: dict[int, list[str]] = {}
-        self.heard: dict[str, Heard] = {}
-        self.racks: dict[int, Heard] = {}
-        self.seats: dict[str, Seat] = {}
-        self.at: dict[str, set[str]] = {}  # node -> plays
-        self.plans: dict[str, Plan] = {}
-        self.out: set[str] = set()
-        self.cold: dict[str, deque] = {}  # when plays began at nodes that have started since this front did
-        self.next_at, self.woken = now, None
-        self.told: list[tuple] = []
-
-    # ---- what happens
-
-    def listed(self, now: int, rows: dict[str, Room]):
-        """The list as it is now, whole."""
-        fresh = {node for node in rows if node not in self.rooms}
-        for node in fresh if self.rooms else ():
-            # Danger: what is new to this front may have started this moment.
-            rows[node] = rows[node]._replace(started=rows[node].started or now)
-        for node in rows.keys() & self.rooms.keys():
-            if rows[node].started == 0 and self.rooms[node].started:
-                rows[node] = rows[node]._replace(started=self.rooms[node].started)
-        self.rooms, self.cells = rows, {}
-        # what is gone is let go: its reports say nothing when it comes back
-        self.heard = {node: heard for node, heard in self.heard.items() if node in rows}
-        self.cold = {node: times for node, times in self.cold.items() if node in rows}
-        self.at = {node: plays for node, plays in self.at.items() if plays or node in rows}
-        for node, room in rows.items():
-            self.cells.setdefault(room.place % max(1, self.terms["specifics.places"]), []).append(node)
-            self.heard.setdefault(node, Heard())
-            self.racks.setdefault(room.rack, Heard())
-            if room.state == "draining":
-                self.drain(now, node)
-            elif node in self.plans:
-                self.call_back(node)
-        for node in list(self.plans):
-            if node not in rows:
-                self.call_back(node)
-        return self.work(now)
-
-    def playing(
+    """Moves of one front. `drain_within`: the time that a drain may take, in ticks."""
+
+    def __init__(self, now: int, start_settings: dict, drain_within: int) -> None:
+        self.start_settings = start_settings
+        self.drain_within = drain_within
+        self.lowest_importance = min((p["importance"] for p in start_settings["products"]), default=0.0)
+        self.nodes: dict[str, NodeInfo] = {}
+        self.nodes_by_place: dict[int, list[str]] = {}
+        self.node_loads: dict[str, LoadEstimate] = {}
+        self.rack_loads: dict[int, LoadEstimate] = {}
+        self.plays: dict[str, TrackedPlay] = {}
+        self.plays_by_node: dict[str, set[str]] = {}
+        self.drains: dict[str, DrainPlan] = {}  # by node
+        self.moving: set[str] = set()  # plays whose move is in progress
+        self.cold_starts: dict[str, deque] = {}  # times of plays started at nodes newer than this front
+        self.next_move_at = now
+        self.wake_at: int | None = None
+        self.pending_actions: list[tuple] = []
+
+    # ---- events
+
+    def nodes_listed(self, now: int, nodes: dict[str, NodeInfo]):
+        """Replace the node list; start and cancel drains as the nodes' states say."""
+        added = {node for node in nodes if node not in self.nodes}
+        for node in added if self.nodes else ():
+            # A node that was not in the list before may have started just now, so it counts as cold.
+            nodes[node] = nodes[node]._replace(started=nodes[node].started or now)
+        for node in nodes.keys() & self.nodes.keys():
+            if nodes[node].started == 0 and self.nodes[node].started:
+                nodes[node] = nodes[node]._replace(started=self.nodes[node].started)
+        self.nodes, self.nodes_by_place = nodes, {}
+        # Forget nodes that left the list: their old reports are worthless if they come back.
+        self.node_loads = {node: load for node, load in self.node_loads.items() if node in nodes}
+        self.cold_starts = {node: times for node, times in self.cold_starts.items() if node in nodes}
+        self.plays_by_node = {
+            node: plays for node, plays in self.plays_by_node.items() if plays or node in nodes
+        }
+        for node, info in nodes.items():
+            self.nodes_by_place.setdefault(
+                info.place % max(1, self.start_settings["specifics.places"]), []
+            ).append(node)
+            self.node_loads.setdefault(node, LoadEstimate())
+            self.rack_loads.setdefault(info.rack, LoadEstimate())
+            if info.state == "draining":
+                self.start_drain(now, node)
+            elif node in self.drains:
+                self.cancel_drain(node)
+        for node in list(self.drains):
+            if node not in nodes:
+                self.cancel_drain(node)
+        return self.next_actions(now)
+
+    def play_started(
         self,
         now: int,
         play: str,
         node: str,
         importance: float,
-        paid: bool,
+        has_side_effect: bool,
         rate: float,
-        cells: tuple[int, ...],
-        ends: int | None,
+        places: tuple[int, ...],
+        ends_at: int | None,
     ):
-        """A play plays at a node. `ends`: when it is over by itself, where that is known."""
-        seat = self.seats[play] = Seat(node, importance, paid, rate, cells, ends)
-        self.at.setdefault(node, set()).add(play)
-        self.place(now, node, rate)
-        if node in self.rooms and self.rooms[node].started:
-            self.cold.setdefault(node, deque(maxlen=99)).append(now)  # whatever brought it there
-        if node in self.plans:
-            self.consider(now, play, seat, self.plans[node])
-        return self.work(now)
-
-    def ended(self, now: int, play: str):
-        """A play is over, whatever ended it."""
-        seat = self.seats.get(play)
-        if seat is None or seat.out == "ask":  # an end that belongs to the move itself
+        """A play has started at a node. `rate` in kB/s; `ends_at`: when it ends by itself, if known."""
+        tracked = self.plays[play] = TrackedPlay(node, importance, has_side_effect, rate, places, ends_at)
+        self.plays_by_node.setdefault(node, set()).add(play)
+        self.record_placement(now, node, rate)
+        if node in self.nodes and self.nodes[node].started:
+            self.cold_starts.setdefault(node, deque(maxlen=99)).append(now)  # moved here or not
+        if node in self.drains:
+            self.schedule(now, play, tracked, self.drains[node])
+        return self.next_actions(now)
+
+    def play_ended(self, now: int, play: str):
+        """A play has ended, for whatever reason."""
+        tracked = self.plays.get(play)
+        if tracked is None or tracked.phase == "request_place":  # the move itself ended the old allocation
             return ()
-        self.forget(now, play, seat)
-        return self.work(now)
-
-    def report(self, now: int, node: str, kind: str, value: float):
-        """A report of a node's link or its rack's uplink: asked over given."""
-        if node in self.rooms:
-            heard = self.heard[node] if kind == "link_asked" else self.racks[self.rooms[node].rack]
-            # Danger: notes tell of a time gone by; what was placed since then is not in them.
-            heard.full, heard.at = value, now - self.terms["specifics.told_late"]
+        self.remove_play(now, play, tracked)
+        return self.next_actions(now)
+
+    def node_reported(self, now: int, node: str, kind: str, value: float):
+        """A node reported the load of its link ("link_asked") or of its rack's uplink."""
+        if node in self.nodes:
+            estimate = (
+                self.node_loads[node] if kind == "link_asked" else self.rack_loads[self.nodes[node].rack]
+            )
+            # Reports lag behind: a play placed within that lag is not in them yet and must be added.
+            estimate.reported_load, estimate.reported_at = (
+                value,
+                now - self.start_settings["specifics.told_late"],
+            )
         return ()
 
-    def buffer(self, now: int, play: str, seconds: float):
-        """How much its viewer has in hand (CMCD `bl`)."""
-        seat = self.seats.get(play)
-        if seat is None or seat.out:
+    def buffer_reported(self, now: int, play: str, seconds: float):
+        """A viewer reported its buffer level (CMCD `bl`)."""
+        tracked = self.plays.get(play)
+        if tracked is None or tracked.phase:
             return ()
-        seat.buffer = int(seconds * SECOND)
-        plan = self.plans.get(seat.node)
+        tracked.buffer = int(seconds * TICKS_PER_SECOND)
+        plan = self.drains.get(tracked.node)
         if plan is None:
             return ()
         if play in plan.ready:
-            plan.ready.put(play, self.rank(seat))
-        elif play in plan.later and not seat.tries and seat.buffer >= BRIDGE:
-            plan.later.drop(play)
-            plan.ready.put(play, self.rank(seat))
-        return self.work(now)
-
-    def looked(self, now: int, play: str, room: bool):
-        """Whether the module would place the play now."""
-        seat = self.seats.get(play)
-        if seat is None or seat.out != "look":
+            plan.ready.put(play, self.priority(tracked))
+        elif play in plan.deferred and not tracked.attempts and tracked.buffer >= MIN_BUFFER_TICKS:
+            plan.deferred.remove(play)
+            plan.ready.put(play, self.priority(tracked))
+        return self.next_actions(now)
+
+    def room_checked(self, now: int, play: str, has_room: bool):
+        """The module has said whether it would place the play now."""
+        tracked = self.plays.get(play)
+        if tracked is None or tracked.phase != "check_room":
             return ()
-        if room:
-            seat.out = "end"
+        if has_room:
+            tracked.phase = "end"
             return [("end", play)]
-        return self.stays(now, play, seat)
+        return self.abort_move(now, play, tracked)
 
-    def ended_there(self, now: int, play: str):
-        """The old allocation has provably ended: the new one may be asked for."""
-        seat = self.seats.get(play)
-        if seat is None or seat.out != "end":
+    def end_confirmed(self, now: int, play: str):
+        """The old allocation has provably ended, so a new place may be requested."""
+        tracked = self.plays.get(play)
+        if tracked is None or tracked.phase != "end":
             return ()
-        seat.out, seat.lasts = "ask", now + min(seat.buffer or 0, 30 * SECOND) - IN_HAND
-        return [("ask", play)]
-
-    def kept(self, now: int, play: str):
-        """The node did not say that it ended: nothing else is asked for, the play stays where it is."""
-        seat = self.seats.get(play)
-        if seat is None or seat.out != "end":
+        tracked.phase = "request_place"
+        tracked.buffer_until = now + min(tracked.buffer or 0, MAX_COUNTED_BUFFER_TICKS) - BUFFER_MARGIN_TICKS
+        return [("request_place", play)]
+
+    def end_unconfirmed(self, now: int, play: str):
+        """The node did not confirm the end: the play stays where it is, and no place is requested."""
+        tracked = self.plays.get(play)
+        if tracked is None or tracked.phase != "end":
             return ()
-        return self.stays(now, play, seat)
+        return self.abort_move(now, play, tracked)
 
-    def stays(self, now: int, play: str, seat: Seat):
-        self.out.discard(play)
-        seat.out, plan = "", self.plans.get(seat.node)
+    def abort_move(self, now: int, play: str, tracked: TrackedPlay):
+        """Stop a move before its play has ended, and schedule the next attempt."""
+        self.moving.discard(play)
+        tracked.phase, plan = "", self.drains.get(tracked.node)
         if plan is not None:
-            self.put_off(now, play, seat, plan)
-        return self.work(now)
+            self.defer(now, play, tracked, plan)
+        return self.next_actions(now)
 
-    def arrived(self, now: int, play: str):
-        """The moved play plays elsewhere; it is told by `playing` under its new name."""
-        return self.finish(now, play, "moved")
+    def move_succeeded(self, now: int, play: str):
+        """The moved play plays elsewhere; `play_started` reports it under its new id."""
+        return self.finish_move(now, play, "moved")
 
-    def declined(self, now: int, play: str, limit: int):
-        """The module declined it; it can be asked for again until `limit`. Empty: it is lost."""
-        seat = self.seats.get(play)
-        if seat is None or seat.out != "ask":
+    def move_declined(self, now: int, play: str, limit: int):
+        """The module declined the move, which can be retried until `limit`; no action: the viewer is lost."""
+        tracked = self.plays.get(play)
+        if tracked is None or tracked.phase != "request_place":
             return ()
-        pause = FIRST_AGAIN * 2 ** min(seat.asks, 3)
-        seat.asks += 1
-        return [("again", play, pause)] if now + pause < min(limit, seat.lasts) else ()
+        delay = DECLINED_RETRY_DELAY_TICKS * 2 ** min(tracked.place_requests, 3)
+        tracked.place_requests += 1
+        return [("retry", play, delay)] if now + delay < min(limit, tracked.buffer_until) else ()
 
-    def lost(self, now: int, play: str):
-        """The module's last word: the moved play was declined or failed, or its viewer is gone."""
-        return self.finish(now, play, "lost")
+    def move_failed(self, now: int, play: str):
+        """The move was finally declined or failed, or its viewer has disconnected."""
+        return self.finish_move(now, play, "lost")
 
     def wake(self, now: int):
-        """A wake asked for earlier is due."""
-        self.woken = None
-        return self.work(now)
-
-    # ---- plans
-
-    def drain(self, now: int, node: str, deadline: int | None = None) -> None:
-        if node not in self.plans:
-            plan = self.plans[node] = Plan(now, deadline or now + self.drain_within)
-            for play in sorted(self.at.get(node, ())):
-                self.consider(now, play, self.seats[play], plan)
-
-    def call_back(self, node: str) -> None:
-        """Danger: a drain called back with moves half done. What is out goes on, nothing new begins."""
-        del self.plans[node]
-        for play in self.at.get(node, ()):
-            self.seats[play].tries = 0
-
-    def consider(self, now: int, play: str, seat: Seat, plan: Plan) -> None:
-        if seat.out:
+        """The time of an earlier `wake` action has come."""
+        self.wake_at = None
+        return self.next_actions(now)
+
+    # ---- drain plans
+
+    def start_drain(self, now: int, node: str, deadline: int | None = None) -> None:
+        """Schedule the moves of all plays of a node, unless it drains already."""
+        if node not in self.drains:
+            plan = self.drains[node] = DrainPlan(now, deadline or now + self.drain_within)
+            for play in sorted(self.plays_by_node.get(node, ())):
+                self.schedule(now, play, self.plays[play], plan)
+
+    def cancel_drain(self, node: str) -> None:
+        """Start no further moves from this node; moves in progress are completed."""
+        del self.drains[node]
+        for play in self.plays_by_node.get(node, ()):
+            self.plays[play].attempts = 0
+
+    def schedule(self, now: int, play: str, tracked: TrackedPlay, plan: DrainPlan) -> None:
+        """Queue a play for its move, or leave it if it ends before the deadline."""
+        if tracked.phase:
             return
-        if seat.ends is not None and seat.ends <= plan.deadline - SECOND:
+        if tracked.ends_at is not None and tracked.ends_at <= plan.deadline - TICKS_PER_SECOND:
             plan.left += 1
-            self.told.append(("leave", play, "ends by itself"))
-        elif seat.buffer is not None and seat.buffer < BRIDGE and now < plan.deadline - LAST:
-            plan.later.put(play, plan.deadline - LAST)
+            self.pending_actions.append(("leave", play, "play ends before the drain deadline"))
+        elif (
+            tracked.buffer is not None
+            and tracked.buffer < MIN_BUFFER_TICKS
+            and now < plan.deadline - FINAL_PHASE_TICKS
+        ):
+            plan.deferred.put(play, plan.deadline - FINAL_PHASE_TICKS)
         else:
-            plan.ready.put(play, self.rank(seat))
-
-    def rank(self, seat: Seat) -> tuple:
-        """Harmless before paid, which have but one try; dearer first; of alike ones the fullest buffer."""
-        return (seat.paid, -seat.importance, -min(seat.buffer or 0, 30 * SECOND))
+            plan.ready.put(play, self.priority(tracked))
 
-    def put_off(self, now: int, play: str, seat: Seat, plan: Plan) -> None:
-        seat.tries += 1
-        if seat.tries >= TRIES or now >= plan.deadline:
+    def priority(self, tracked: TrackedPlay) -> tuple:
+        """Sort key: plays without side effects first, because the others have only one allocation attempt;
+        then by importance, then the largest buffer first.
+        """
+        return (
+            tracked.has_side_effect,
+            -tracked.importance,
+            -min(tracked.buffer or 0, MAX_COUNTED_BUFFER_TICKS),
+        )
+
+    def defer(self, now: int, play: str, tracked: TrackedPlay, plan: DrainPlan) -> None:
+        """Schedule the next attempt, or leave the play after the last one."""
+        tracked.attempts += 1
+        if tracked.attempts >= MAX_ATTEMPTS or now >= plan.deadline:
             plan.left += 1
-            why = "the deadline has passed" if now >= plan.deadline else "no room"
-            self.told.append(("leave", play, why))
+            why = "drain deadline has passed" if now >= plan.deadline else "no node has room"
+            self.pending_actions.append(("leave", play, why))
         else:
-            pause = min(LONGEST_PAUSE, FIRST_PAUSE * 2 ** (seat.tries - 1))
-            plan.later.put(play, min(now + pause, max(now + FIRST_PAUSE, plan.deadline - LAST)))
-
-    def forget(self, now: int, play: str, seat: Seat) -> None:
-        del self.seats[play]
-        self.out.discard(play)
-        self.at[seat.node].discard(play)
-        self.place(now, seat.node, -seat.rate)
-        plan = self.plans.get(seat.node)
+            delay = min(MAX_RETRY_DELAY_TICKS, MIN_RETRY_DELAY_TICKS * 2 ** (tracked.attempts - 1))
+            plan.deferred.put(
+                play,
+                min(now + delay, max(now + MIN_RETRY_DELAY_TICKS, plan.deadline - FINAL_PHASE_TICKS)),
+            )
+
+    def remove_play(self, now: int, play: str, tracked: TrackedPlay) -> None:
+        """Forget a play that has left its node."""
+        del self.plays[play]
+        self.moving.discard(play)
+        self.plays_by_node[tracked.node].discard(play)
+        self.record_placement(now, tracked.node, -tracked.rate)
+        plan = self.drains.get(tracked.node)
         if plan is not None:
-            plan.ready.drop(play)
-            plan.later.drop(play)
-            if not self.at[seat.node] and plan.emptied is None:
-                plan.emptied = now
-
-    def finish(self, now: int, play: str, how: str):
-        seat = self.seats.get(play)
-        if seat is None or seat.out != "ask":
+            plan.ready.remove(play)
+            plan.deferred.remove(play)
+            if not self.plays_by_node[tracked.node] and plan.emptied_at is None:
+                plan.emptied_at = now
+
+    def finish_move(self, now: int, play: str, result: str):
+        """Count a finished move in the plan's attribute `result` ("moved" or "lost")."""
+        tracked = self.plays.get(play)
+        if tracked is None or tracked.phase != "request_place":
             return ()
-        plan = self.plans.get(seat.node)
+        plan = self.drains.get(tracked.node)
         if plan is not None:
-            setattr(plan, how, getattr(plan, how) + 1)
-        self.forget(now, play, seat)
-        return self.work(now)
-
-    # ---- the pace
-
-    def work(self, now: int):
-        """Begin what may begin now; answers what is to be carried out."""
-        out, self.told = self.told, []
-        for plan in self.plans.values():
-            while plan.later and plan.later.first()[0] <= now:
-                play = plan.later.pop()[1]
-                plan.ready.put(play, self.rank(self.seats[play]))
-        most = self.most_out()
-        while self.plans and now >= self.next_at and len(self.out) < most:
-            plan = min((p for p in self.plans.values() if p.ready), key=lambda p: p.deadline, default=None)
+            setattr(plan, result, getattr(plan, result) + 1)
+        self.remove_play(now, play, tracked)
+        return self.next_actions(now)
+
+    # ---- pacing
+
+    def next_actions(self, now: int):
+        """Start the moves that may start now; return the actions to execute."""
+        actions, self.pending_actions = self.pending_actions, []
+        for plan in self.drains.values():
+            while plan.deferred and plan.deferred.peek()[0] <= now:
+                play = plan.deferred.pop()[1]
+                plan.ready.put(play, self.priority(self.plays[play]))
+        max_moves = self.max_concurrent_moves()
+        while self.drains and now >= self.next_move_at and len(self.moving) < max_moves:
+            plan = min((p for p in self.drains.values() if p.ready), key=lambda p: p.deadline, default=None)
             if plan is None:
                 break
             play = plan.ready.pop()[1]
-            seat = self.seats[play]
-            if now >= plan.deadline or not self.holder(now, seat):
-                self.put_off(now, play, seat, plan)
-                out += self.told
-                self.told = []
+            tracked = self.plays[play]
+            if now >= plan.deadline or not self.has_target(now, tracked):
+                self.defer(now, play, tracked, plan)
+                actions += self.pending_actions
+                self.pending_actions = []
                 continue
-            seat.out = "look"
-            self.out.add(play)
-            waiting = len(plan.ready) + len(plan.later) + 1
-            # half of the time that is left is for the moves, the other half for what goes wrong
-            self.next_at = now + max(SHORTEST, min(LONGEST, (plan.deadline - now) // 2 // waiting))
-            out.append(("look", play))
-        due = self.due(now)
-        if due is not None and (self.woken is None or due < self.woken):
-            self.woken = due
-            out.append(("wake", max(1, due - now)))
-        return out
-
-    def due(self, now: int) -> int | None:
-        """When there will be something to do that no call tells of."""
-        dues = [plan.later.first()[0] for plan in self.plans.values() if plan.later]
-        if any(plan.ready for plan in self.plans.values()) and len(self.out) < self.most_out():
-            dues.append(max(now + 1, self.next_at))
-        return min(dues, default=None)
-
-    def most_out(self) -> int:
-        """Danger: many fronts move at once, none knowing of the others. Together they have no more set-ups
-        out than there are nodes to take them, one to a front at least.
+            tracked.phase = "check_room"
+            self.moving.add(play)
+            waiting = len(plan.ready) + len(plan.deferred) + 1
+            # Plan the moves for half of the remaining time; the other half is for retries.
+            self.next_move_at = now + max(
+                MIN_MOVE_INTERVAL_TICKS,
+                min(MAX_MOVE_INTERVAL_TICKS, (plan.deadline - now) // 2 // waiting),
+            )
+            actions.append(("check_room", play))
+        due = self.next_due(now)
+        if due is not None and (self.wake_at is None or due < self.wake_at):
+            self.wake_at = due
+            actions.append(("wake", max(1, due - now)))
+        return actions
+
+    def next_due(self, now: int) -> int | None:
+        """When the next work is due without an event; None: not before the next event."""
+        due_times = [plan.deferred.peek()[0] for plan in self.drains.values() if plan.deferred]
+        if (
+            any(plan.ready for plan in self.drains.values())
+            and len(self.moving) < self.max_concurrent_moves()
+        ):
+            due_times.append(max(now + 1, self.next_move_at))
+        return min(due_times, default=None)
+
+    def max_concurrent_moves(self) -> int:
+        """This front's share of the fleet's limit of one set-up per serving node; at least 1.
+
+        Fronts move at the same time without knowing of each other, so each keeps to its share.
         """
-        targets = sum(room.state == "serving" for room in self.rooms.values())
-        return max(1, min(MOST_OUT, targets // max(1, self.terms["fronts"])))
-
-    # ---- room
-
-    def place(self, now: int, node: str, rate: float) -> None:
-        if node in self.rooms:
-            self.heard[node].placed.add(now, rate)
-            self.racks[self.rooms[node].rack].placed.add(now, rate)
-
-    def holder(self, now: int, seat: Seat) -> bool:
-        """Whether some node that holds the title shows room for the play, and can take a set-up now."""
-        nodes = [n for cell in seat.cells for n in self.cells.get(cell, ()) if n != seat.node]
-        return any(self.fits(now, n, seat) for n in nodes)
-
-    def fits(self, now: int, node: str, seat: Seat) -> bool:
-        room, rate, fullest = self.rooms[node], seat.rate, 0.0
-        if room.state != "serving":
+        targets = sum(info.state == "serving" for info in self.nodes.values())
+        return max(1, min(MAX_CONCURRENT_MOVES, targets // max(1, self.start_settings["fronts"])))
+
+    # ---- capacity
+
+    def record_placement(self, now: int, node: str, rate: float) -> None:
+        """Add `rate` kB/s (negative: remove) to the estimates of the node's link and its rack's uplink."""
+        if node in self.nodes:
+            self.node_loads[node].placed.add(now, rate)
+            self.rack_loads[self.nodes[node].rack].placed.add(now, rate)
+
+    def has_target(self, now: int, tracked: TrackedPlay) -> bool:
+        """Whether another node that holds the title has room for the play and can take a set-up now."""
+        nodes = [
+            n for place in tracked.places for n in self.nodes_by_place.get(place, ()) if n != tracked.node
+        ]
+        return any(self.fits(now, n, tracked) for n in nodes)
+
+    def fits(self, now: int, node: str, tracked: TrackedPlay) -> bool:
+        """Whether a node, by the estimate of its link and uplink, has room for the play."""
+        info, rate, highest_load = self.nodes[node], tracked.rate, 0.0
+        if info.state != "serving":
             return False
-        uplink = self.terms["specifics.uplink_kb"]
-        for heard, given in ((self.heard[node], room.link), (self.racks[room.rack], uplink)):
-            # what others may have placed since the report counts as much as this front's own
-            since = max(heard.at, now - 2 * FRESH)
-            mine = max(0.0, heard.placed.since(since)) * self.terms["fronts"]
-            full = heard.full if now - heard.at <= FRESH else self.average(now)
-            fullest = max(fullest, (full * given + mine + rate) / given)
-        # Danger: the least product is capped at this front's slice of a node above the fraction, moved or
-        # not.
-        if fullest > 1 - KEPT or fullest > FRACTION and self.capped(node, seat):
+        uplink = self.start_settings["specifics.uplink_kb"]
+        for estimate, capacity in ((self.node_loads[node], info.link), (self.rack_loads[info.rack], uplink)):
+            # The other fronts are assumed to have placed as much as this one since the report.
+            since = max(estimate.reported_at, now - 2 * REPORT_MAX_AGE_TICKS)
+            placed = max(0.0, estimate.placed.since(since)) * self.start_settings["fronts"]
+            load = (
+                estimate.reported_load
+                if now - estimate.reported_at <= REPORT_MAX_AGE_TICKS
+                else self.average_load(now)
+            )
+            highest_load = max(highest_load, (load * capacity + placed + rate) / capacity)
+        # Above this load the module caps the least important product at this front's slice of the node, for
+        # moves as well: a play above the cap would be declined.
+        if (
+            highest_load > 1 - RESERVED_SHARE
+            or highest_load > LEAST_PRODUCT_CAP_SHARE
+            and self.is_capped(node, tracked)
+        ):
             return False
-        return self.warm(now, node, room)
-
-    def capped(self, node: str, seat: Seat) -> bool:
-        least = self.least
-        slice_ = FRACTION * min(self.terms["specifics.kind_streams"]) / max(1, self.terms["fronts"])
-        held = sum(self.seats[play].importance <= least for play in self.at.get(node, ()))
-        return seat.importance <= least and held + 1 >= slice_
-
-    def average(self, now: int) -> float:
-        """An unheard node counts as full as the heard ones on the average, two half-full ones added."""
-        heard = [h.full for h in self.heard.values() if now - h.at <= FRESH]
-        return (sum(heard) + 1) / (len(heard) + 2)
-
-    def warm(self, now: int, node: str, room: Room) -> bool:
-        """Danger: rule 4 counts the sum over all fronts. A node that may be cold counts for this front's
-        share of half the pace that it bears, and not at all where that is under one set-up in a window.
+        return self.accepts_cold_start(now, node, info)
+
+    def is_capped(self, node: str, tracked: TrackedPlay) -> bool:
+        """Whether the play is of the least important product and this front's slice of the node is full."""
+        lowest = self.lowest_importance
+        slice_ = (
+            LEAST_PRODUCT_CAP_SHARE
+            * min(self.start_settings["specifics.kind_streams"])
+            / max(1, self.start_settings["fronts"])
+        )
+        held = sum(self.plays[play].importance <= lowest for play in self.plays_by_node.get(node, ()))
+        return tracked.importance <= lowest and held + 1 >= slice_
+
+    def average_load(self, now: int) -> float:
+        """Load assumed for nodes without a recent report: the mean of the reported link loads and of two
+        half-full nodes.
+        """
+        reported = [
+            e.reported_load for e in self.node_loads.values() if now - e.reported_at <= REPORT_MAX_AGE_TICKS
+        ]
+        return (sum(reported) + 1) / (len(reported) + 2)
+
+    def accepts_cold_start(self, now: int, node: str, info: NodeInfo) -> bool:
+        """Whether a node that may still be warming up can take one more set-up of this front.
+
+        The overload rule for starting nodes counts the set-ups of all fronts together. So this front uses its
+        share of half the rate that the node can bear, and none if that is less than one set-up per window.
         """
-        warm, window = self.terms["rules.warm_within"], self.terms["rules.fall"]
-        if not room.started or now - room.started >= warm:
+        warm, window = self.start_settings["rules.warm_within"], self.start_settings["rules.fall"]
+        if not info.started or now - info.started >= warm:
             return True
-        pace = 0.5 * self.terms["rules.overload_factor"] * self.terms["rules.start_capacity"] * window / warm
-        most = int(pace * max(self.terms["specifics.kind_streams"]) / max(1, self.terms["fronts"]))
-        times = self.cold.setdefault(node, deque())
+        setups_per_stream = (
+            0.5
+            * self.start_settings["rules.overload_factor"]
+            * self.start_settings["rules.start_capacity"]
+            * window
+            / warm
+        )
+        limit = int(
+            setups_per_stream
+            * max(self.start_settings["specifics.kind_streams"])
+            / max(1, self.start_settings["fronts"])
+        )
+        times = self.cold_starts.setdefault(node, deque())
         while times and times[0] <= now - window:
             times.popleft()
-        return len(times) + len(self.out) < most
+        return len(times) + len(self.moving) < limit
 
     def progress(self) -> dict[str, dict[str, int]]:
-        """For the people on call: each drain's moved, waiting, left and lost."""
+        """Progress of each drain for operators, by node: counts of plays, and the deadline in ticks."""
         return {
             node: {
                 "moved": plan.moved,
-                "waiting": len(plan.ready) + len(plan.later),
-                "out": sum(play in self.out for play in self.at.get(node, ())),
+                "waiting": len(plan.ready) + len(plan.deferred),
+                "out": sum(play in self.moving for play in self.plays_by_node.get(node, ())),
                 "left": plan.left,
                 "lost": plan.lost,
-                "held": len(self.at.get(node, ())),
+                "held": len(self.plays_by_node.get(node, ())),
                 "deadline": plan.deadline,
             }
-            for node, plan in self.plans.items()
+            for node, plan in self.drains.items()
         }
--- a/curlewhall/moves/heap.py
+++ b/curlewhall/moves/heap.py
@@ -1,80 +1,82 @@
-"""A heap whose entries can be found, changed and taken out by their names, each in O(log n)."""
+"""A binary heap whose entries can be looked up, reprioritised and removed by name, each in O(log n)."""
 
 from collections.abc import Hashable, Iterator
 
 
 class IndexedHeap:
-    """Names in the order of their priorities (anything that compares); equal ones in no stated order."""
+    """Min-heap of unique names. Priorities may be of any comparable type; ties come out in any order."""
 
     def __init__(self) -> None:
-        self.rows: list[tuple] = []  # (priority, name), a binary heap
-        self.places: dict[Hashable, int] = {}
+        self.entries: list[tuple] = []  # (priority, name), in heap order
+        self.positions: dict[Hashable, int] = {}  # name -> index in `entries`
 
     def __len__(self) -> int:
-        return len(self.rows)
+        return len(self.entries)
 
     def __contains__(self, name: Hashable) -> bool:
-        return name in self.places
+        return name in self.positions
 
     def __iter__(self) -> Iterator[Hashable]:
-        return iter(self.places)
+        return iter(self.positions)
 
     def put(self, name: Hashable, priority) -> None:
-        """Add a name, or give it another priority."""
-        place = self.places.get(name)
-        if place is None:
-            place = len(self.rows)
-            self.rows.append((priority, name))
-            self.places[name] = place
+        """Add a name, or change its priority."""
+        position = self.positions.get(name)
+        if position is None:
+            position = len(self.entries)
+            self.entries.append((priority, name))
+            self.positions[name] = position
         else:
-            self.rows[place] = (priority, name)
-        self.rise(place)
-        self.sink(self.places[name])
+            self.entries[position] = (priority, name)
+        self.sift_up(position)
+        self.sift_down(self.positions[name])
 
-    def first(self) -> tuple:
-        """(priority, name) of the least; `IndexError` when empty."""
-        return self.rows[0]
+    def peek(self) -> tuple:
+        """Return (priority, name) of the smallest entry; raise `IndexError` if the heap is empty."""
+        return self.entries[0]
 
     def pop(self) -> tuple:
-        """Take the least out; `IndexError` when empty."""
-        least = self.rows[0]
-        self.drop(least[1])
-        return least
+        """Remove and return (priority, name) of the smallest entry; raise `IndexError` if there is none."""
+        smallest = self.entries[0]
+        self.remove(smallest[1])
+        return smallest
 
-    def drop(self, name: Hashable) -> bool:
-        """Take a name out; False where it is not in."""
-        place = self.places.pop(name, None)
-        if place is None:
+    def remove(self, name: Hashable) -> bool:
+        """Remove a name; return False if it is not in the heap."""
+        position = self.positions.pop(name, None)
+        if position is None:
             return False
-        last = self.rows.pop()
-        if place < len(self.rows):
-            self.rows[place] = last
-            self.places[last[1]] = place
-            self.rise(place)
-            self.sink(self.places[last[1]])
+        last = self.entries.pop()
+        if position < len(self.entries):
+            self.entries[position] = last
+            self.positions[last[1]] = position
+            self.sift_up(position)
+            self.sift_down(self.positions[last[1]])
         return True
 
-    def rise(self, place: int) -> None:
-        rows, row = self.rows, self.rows[place]
-        while place:
-            above = (place - 1) // 2
-            if rows[above][0] <= row[0]:
+    def sift_up(self, position: int) -> None:
+        """Move the entry at `position` towards the root until its parent is not larger."""
+        entries, entry = self.entries, self.entries[position]
+        while position:
+            parent = (position - 1) // 2
+            if entries[parent][0] <= entry[0]:
                 break
-            rows[place] = rows[above]
-            self.places[rows[place][1]] = place
-            place = above
-        rows[place] = row
-        self.places[row[1]] = place
+            entries[position] = entries[parent]
+            self.positions[entries[position][1]] = position
+            position = parent
+        entries[position] = entry
+        self.positions[entry[1]] = position
 
-    def sink(self, place: int) -> None:
-        rows, row, size = self.rows, self.rows[place], len(self.rows)
-        while (below := 2 * place + 1) < size:
-            if below + 1 < size and rows[below + 1][0] < rows[below][0]:
-                below += 1
-            if row[0] <= rows[below][0]:
+    def sift_down(self, position: int) -> None:
+        """Move the entry at `position` towards the leaves until no child is smaller."""
+        entries, entry, size = self.entries, self.entries[position], len(self.entries)
+        while (child := 2 * position + 1) < size:
+            if child + 1 < size and entries[child + 1][0] < entries[child][0]:
+                child += 1
+            if entry[0] <= entries[child][0]:
                 break
-            rows[place] = rows[below]
-            self.places[rows[place][1]] = place
-            place = below
-        rows[place] = row
-        self.places[row[1]] = place
+            entries[position] = entries[child]
+            self.positions[entries[position][1]] = position
+            position = child
+        entries[position] = entry
+        self.positions[entry[1]] = position
--- a/tests/front/test_allocations.py
+++ b/tests/front/test_allocations.py
@@ -62,7 +62,7 @@
         front = place.fronts[0]
         _, plan = await place.ask()
         (active_play,) = front.driver.plays.values()
-        front.driver.moves.buffer(active_play.info.play, 30.0)
+        front.driver.moves.buffer_reported(active_play.info.play, 30.0)
         fill(place)
         place.fault("drain", nodes=[active_play.node])
         await until(lambda: front.driver.counts["declined"] or front.driver.counts["failed"])
--- a/tests/front/test_front.py
+++ b/tests/front/test_front.py
@@ -364,10 +364,10 @@
             follower.rows,
             front.nodes.nodes,
             front.driver.module.nodes,
-            mover.heard,
-            mover.rooms,
-            mover.cold,
-            mover.at,
+            mover.node_loads,
+            mover.nodes,
+            mover.cold_starts,
+            mover.plays_by_node,
         ):
             assert len(held) < 10, held
         assert (await place.ask())[0].status == 200
--- a/tests/front/test_moves.py
+++ b/tests/front/test_moves.py
@@ -71,7 +71,7 @@
         front = place.fronts[0]
         _, plan = await place.ask()
         (active_play,) = front.driver.plays.values()
-        front.driver.moves.buffer(active_play.info.play, 3.0)
+        front.driver.moves.buffer_reported(active_play.info.play, 3.0)
         place.fault("drain", nodes=[active_play.node])
         await until(lambda: front.driver.moves.retrying)
         if not early:
@@ -93,7 +93,7 @@
         front = place.fronts[0]
         _, plan = await place.ask()
         (active_play,) = front.driver.plays.values()
-        front.driver.moves.buffer(active_play.info.play, 30.0)
+        front.driver.moves.buffer_reported(active_play.info.play, 30.0)
         place.fault("drain", nodes=[active_play.node])
         await until(lambda: front.driver.moves.retrying)
         ask = place.pool.ask(
@@ -105,7 +105,7 @@
             lambda: front.server.connections and any(line.exchanges for line in front.server.connections)
         )
         ask.withdraw()
-        await until(lambda: not front.driver.moves.mover.seats and not front.driver.plays)
+        await until(lambda: not front.driver.moves.mover.plays and not front.driver.plays)
         assert len(at(place)) == 1 and not front.driver.moves.retrying
 
 
@@ -140,8 +140,8 @@
         _, plan = await place.ask()
         place.fault("drain")
         await until(
-            lambda: place.fronts[0].driver.moves.mover.seats
-            and next(iter(place.fronts[0].driver.moves.mover.seats.values())).tries
+            lambda: place.fronts[0].driver.moves.mover.plays
+            and next(iter(place.fronts[0].driver.moves.mover.plays.values())).attempts
         )
         assert (await place.segment(plan)).status == 200 and not place.fronts[0].driver.counts["moved"]
 
@@ -176,8 +176,8 @@
         place.fault("drain", nodes=[first])
         # its end was asked for, and the answer was waited for in vain
         await until(
-            lambda: '"moving"' in (tmp_path / "front.log").read_text()
-            and not any(seat.out for seat in mover.seats.values())
+            lambda: '"move started"' in (tmp_path / "front.log").read_text()
+            and not any(tracked.phase for tracked in mover.plays.values())
         )
         assert at(place) == [first] and mover.progress()[first]["held"] == 1
         assert place.fronts[0].driver.counts["ended"] == 0
@@ -194,7 +194,7 @@
         place.fault("drain", nodes=[first])
         await until(lambda: front.driver.counts["moved"] >= 1)
         place.fault("drain", 0, nodes=[first])
-        await until(lambda: not front.driver.moves.progress() and not front.driver.moves.mover.out)
+        await until(lambda: not front.driver.moves.progress() and not front.driver.moves.mover.moving)
         there = front.driver.counts["moved"]
         assert 1 <= there < here
         place.fault("drain", nodes=[first])
--- a/tests/moves/test_decide.py
+++ b/tests/moves/test_decide.py
@@ -1,4 +1,4 @@
-"""The mover alone: tables of cases, then any order of events."""
+"""`Mover` without I/O: single cases, then a state machine that sends it events in any order."""
 
 import pytest
 from hypothesis import settings
@@ -6,16 +6,23 @@
 from hypothesis.stateful import Bundle, RuleBasedStateMachine, consumes, initialize, invariant, rule
 
 from curlewhall.moves import Mover
-from curlewhall.moves.decide import BRIDGE, FRESH, MOST_OUT, SHORTEST, TRIES, Room
+from curlewhall.moves.decide import (
+    MAX_ATTEMPTS,
+    MAX_CONCURRENT_MOVES,
+    MIN_BUFFER_TICKS,
+    MIN_MOVE_INTERVAL_TICKS,
+    REPORT_MAX_AGE_TICKS,
+    NodeInfo,
+)
 
-S = 10_000
+TICKS_PER_SECOND = 10_000
 START_SETTINGS = {
     "specifics.places": 2,
     "specifics.uplink_kb": 20_000.0,
     "specifics.kind_streams": [40],
     "fronts": 1,
-    "rules.warm_within": 5 * S,
-    "rules.fall": S,
+    "rules.warm_within": 5 * TICKS_PER_SECOND,
+    "rules.fall": TICKS_PER_SECOND,
     "rules.overload_factor": 4.0,
     "rules.start_capacity": 0.4,
     "specifics.told_late": 7000,
@@ -24,112 +31,135 @@
 NODES = 4
 
 
-class Rig:
-    """A mover with four nodes of two racks; every title lies on both places."""
+class MoverHarness:
+    """A mover with four nodes in two racks; by default, every title is on both places.
+
+    `check_room` actions are answered at once; all other actions are collected in `actions`.
+    """
 
-    def __init__(self, now=100 * S, within=20 * S, **start_settings):
-        self.now, self.mover = now, Mover(now, START_SETTINGS | start_settings, within)
-        self.states, self.started, self.said = ["serving"] * NODES, [0] * NODES, []
-        self.room = True  # whether the module would place any play
-        self.list()
-        self.report(0.2)
+    def __init__(self, now=100 * TICKS_PER_SECOND, drain_within=20 * TICKS_PER_SECOND, **start_settings):
+        self.now = now
+        self.mover = Mover(now, START_SETTINGS | start_settings, drain_within)
+        self.states = ["serving"] * NODES
+        self.started = [0] * NODES
+        self.actions = []
+        self.module_has_room = True
+        self.list_nodes()
+        self.report_loads(0.2)
 
-    def list(self, gone=()):
-        rows = {
-            f"n{i}": Room(i, i % 2, self.states[i], 10_000.0, self.started[i])
+    def list_nodes(self, gone=()):
+        nodes = {
+            f"n{i}": NodeInfo(i, i % 2, self.states[i], 10_000.0, self.started[i])
             for i in range(NODES)
             if i not in gone
         }
-        return self.hear("listed", rows)
+        return self.send("nodes_listed", nodes)
 
-    def report(self, full, nodes=None):
+    def report_loads(self, load, nodes=None):
         for i in range(NODES) if nodes is None else nodes:
-            self.hear("report", f"n{i}", "link_asked", full)
-            self.hear("report", f"n{i}", "uplink_asked", full)
-
-    def hear(self, name, *facts):
-        """What is said, the module's room looked for at once."""
-        said = []
-        for answer in getattr(self.mover, name)(self.now, *facts):
-            found = [answer] if answer[0] != "look" else self.mover.looked(self.now, answer[1], self.room)
-            said += found
-        self.said += said
-        return said
+            self.send("node_reported", f"n{i}", "link_asked", load)
+            self.send("node_reported", f"n{i}", "uplink_asked", load)
+
+    def send(self, event, *arguments):
+        """Call an event method of the mover; return its actions, with `check_room` already answered."""
+        actions = []
+        for action in getattr(self.mover, event)(self.now, *arguments):
+            following = (
+                [action]
+                if action[0] != "check_room"
+                else self.mover.room_checked(self.now, action[1], self.module_has_room)
+            )
+            actions += following
+        self.actions += actions
+        return actions
 
     def play(
-        self, play, node="n0", importance=1.0, paid=False, rate=100.0, cells=(0, 1), ends=None, buffer=4.0
+        self,
+        play,
+        node="n0",
+        importance=1.0,
+        has_side_effect=False,
+        rate=100.0,
+        places=(0, 1),
+        ends_at=None,
+        buffer=4.0,
     ):
-        self.hear("playing", play, node, importance, paid, rate, cells, ends)
-        return self.hear("buffer", play, buffer) if buffer is not None else []
+        self.send("play_started", play, node, importance, has_side_effect, rate, places, ends_at)
+        return self.send("buffer_reported", play, buffer) if buffer is not None else []
 
     def drain(self, *nodes, state="draining"):
         for i in nodes:
             self.states[i] = state
-        return self.list()
+        return self.list_nodes()
 
     def wait(self, span):
         self.now += span
-        return self.hear("wake")
+        return self.send("wake")
 
-    def run(self, span, fresh=True, step=S // 10):
-        """Let time pass; whatever is asked is done at once."""
+    def run(self, span, fresh=True, step=TICKS_PER_SECOND // 10):
+        """Advance the clock; each move that starts succeeds at once."""
         for _ in range(span // step):
-            said = self.wait(step)
+            actions = self.wait(step)
             if fresh:
-                self.report(0.2)
-            self.settle(said)
-
-    def settle(self, said):
-        for verb, play, *_ in said:
-            if verb == "end":
-                self.hear("ended_there", play)
-                self.hear("ended", play)
-                self.settle(self.hear("arrived", play))
-
-
-def ends(said):
-    return [answer[1] for answer in said if answer[0] == "end"]
-
-
-def test_a_drained_node_is_emptied_in_the_order_of_rank_at_a_pace():
-    rig = Rig(within=60 * S)
-    rig.play("cheap")
-    rig.play("paid", paid=True, importance=9.0)
-    rig.play("dear", importance=2.0, buffer=3.0)
-    rig.play("dear and full", importance=2.0, buffer=6.0)
-    said = rig.drain(0)
-    rig.settle(said)
-    rig.run(10 * S)
-    assert ends(rig.said) == ["dear and full", "dear", "cheap", "paid"]
-    progress = rig.mover.progress()["n0"]
+                self.report_loads(0.2)
+            self.complete_moves(actions)
+
+    def complete_moves(self, actions):
+        for name, play, *_ in actions:
+            if name == "end":
+                self.send("end_confirmed", play)
+                self.send("play_ended", play)
+                self.complete_moves(self.send("move_succeeded", play))
+
+
+def ended_plays(actions):
+    return [action[1] for action in actions if action[0] == "end"]
+
+
+def test_plays_leave_a_draining_node_in_order_of_priority():
+    harness = MoverHarness(drain_within=60 * TICKS_PER_SECOND)
+    harness.play("cheap")
+    harness.play("paid", has_side_effect=True, importance=9.0)
+    harness.play("important", importance=2.0, buffer=3.0)
+    harness.play("important, large buffer", importance=2.0, buffer=6.0)
+    actions = harness.drain(0)
+    harness.complete_moves(actions)
+    harness.run(10 * TICKS_PER_SECOND)
+    assert ended_plays(harness.actions) == ["important, large buffer", "important", "cheap", "paid"]
+    progress = harness.mover.progress()["n0"]
     assert (progress["moved"], progress["held"], progress["waiting"], progress["lost"]) == (4, 0, 0, 0)
 
 
 @pytest.mark.parametrize(
-    ("why", "make"),
+    ("reason", "set_up"),
     [
-        ("no room", lambda rig: rig.report(0.86)),
-        ("a full uplink", lambda rig: [rig.hear("report", f"n{i}", "uplink_asked", 0.86) for i in (0, 1)]),
-        ("all drain", lambda rig: rig.drain(1, 2, 3)),
-        ("all young", lambda rig: setattr(rig, "started", [rig.now] * NODES)),
-        ("only holder", lambda rig: None),
+        ("links full", lambda harness: harness.report_loads(0.86)),
+        (
+            "uplinks full",
+            lambda harness: [harness.send("node_reported", f"n{i}", "uplink_asked", 0.86) for i in (0, 1)],
+        ),
+        ("all nodes drain", lambda harness: harness.drain(1, 2, 3)),
+        ("all nodes cold", lambda harness: setattr(harness, "started", [harness.now] * NODES)),
+        ("no other node has the title", lambda harness: None),
     ],
 )
-def test_nothing_is_ended_while_no_holder_shows_room(why, make):
-    rig = Rig(fronts=200 if why == "all young" else 1)
-    rig.play("p", cells=(0,) if why == "only holder" else (0, 1))
-    make(rig)
-    said = rig.drain(0) if why != "only holder" else rig.drain(0, 2)
-    assert ends(said) == []
+def test_no_play_is_ended_while_no_target_has_room(reason, set_up):
+    harness = MoverHarness(fronts=200 if reason == "all nodes cold" else 1)
+    harness.play("p", places=(0,) if reason == "no other node has the title" else (0, 1))
+    set_up(harness)
+    actions = harness.drain(0) if reason != "no other node has the title" else harness.drain(0, 2)
+    assert ended_plays(actions) == []
     for _ in range(300):
-        rig.wait(S // 10)
-        make(rig)
-        rig.list()
-    assert ends(rig.said) == [] and any(answer[:2] == ("leave", "p") for answer in rig.said)
+        harness.wait(TICKS_PER_SECOND // 10)
+        set_up(harness)
+        harness.list_nodes()
+    assert ended_plays(harness.actions) == [] and any(
+        action[:2] == ("leave", "p") for action in harness.actions
+    )
 
 
 @pytest.mark.parametrize(
-    ("importance", "held", "full", "moves"),
+    ("importance", "held", "load", "moves"),
     [
         (1.0, 0, 0.7, True),
         (1.0, 6, 0.7, False),
@@ -138,268 +168,287 @@
         (2.0, 0, 0.9, False),
     ],
 )
-def test_the_least_product_is_moved_only_where_the_cap_lets_it_in(importance, held, full, moves):
-    rig = Rig(fronts=3)
+def test_least_important_product_moves_only_below_its_cap(importance, held, load, moves):
+    harness = MoverHarness(fronts=3)
     for node in range(1, NODES):
         for i in range(held):
-            rig.play(f"h{node}{i}", f"n{node}")
-    rig.play("p", importance=importance)
-    rig.now += S  # notes come late: what was placed within their lateness is added to them
-    rig.report(full)
-    assert ends(rig.drain(0)) == (["p"] if moves else [])
+            harness.play(f"h{node}{i}", f"n{node}")
+    harness.play("p", importance=importance)
+    harness.now += TICKS_PER_SECOND  # longer than the reporting lag: the placed plays are in the next report
+    harness.report_loads(load)
+    assert ended_plays(harness.drain(0)) == (["p"] if moves else [])
 
 
-def test_pauses_grow_and_tries_end():
-    rig = Rig(within=600 * S)
-    rig.play("p", rate=99_999.0)
-    rig.drain(0)
+def test_play_without_a_target_is_left_after_the_last_attempt():
+    harness = MoverHarness(drain_within=600 * TICKS_PER_SECOND)
+    harness.play("p", rate=99_999.0)
+    harness.drain(0)
     for _ in range(4000):
-        rig.wait(S // 10)
-    assert rig.said.count(("leave", "p", "no room")) == 1
-    assert rig.mover.seats["p"].tries == TRIES and not rig.mover.plans["n0"].later
-
-
-def test_what_ends_by_itself_is_left_where_it_is():
-    rig = Rig(within=10 * S)
-    rig.play("short", ends=rig.now + 5 * S)
-    rig.play("long", ends=rig.now + 50 * S)
-    rig.settle(rig.drain(0))
-    assert ends(rig.said) == ["long"] and ("leave", "short", "ends by itself") in rig.said
+        harness.wait(TICKS_PER_SECOND // 10)
+    assert harness.actions.count(("leave", "p", "no node has room")) == 1
+    assert harness.mover.plays["p"].attempts == MAX_ATTEMPTS and not harness.mover.drains["n0"].deferred
+
+
+def test_play_that_ends_before_the_deadline_is_not_moved():
+    harness = MoverHarness(drain_within=10 * TICKS_PER_SECOND)
+    harness.play("short", ends_at=harness.now + 5 * TICKS_PER_SECOND)
+    harness.play("long", ends_at=harness.now + 50 * TICKS_PER_SECOND)
+    harness.complete_moves(harness.drain(0))
+    assert (
+        ended_plays(harness.actions) == ["long"]
+        and ("leave", "short", "play ends before the drain deadline") in harness.actions
+    )
 
 
 @pytest.mark.parametrize("buffer", [0.0, 0.5])
-def test_a_viewer_with_an_empty_buffer_goes_when_it_has_some_or_when_time_runs_out(buffer):
-    rig = Rig(within=20 * S)
-    rig.play("p", buffer=buffer)
-    assert ends(rig.drain(0)) == []
-    assert ends(rig.hear("buffer", "p", (BRIDGE + 1) / S)) == ["p"]
-    rig = Rig(within=20 * S)
-    rig.play("p", buffer=buffer)
-    rig.drain(0)
-    rig.run(14 * S)
-    assert ends(rig.said) == []
-    rig.run(2 * S)
-    assert ends(rig.said) == ["p"]
-
-
-def test_called_back_after_half_stops_at_once():
-    rig = Rig(within=60 * S)
+def test_play_with_a_low_buffer_moves_once_it_is_filled_or_the_deadline_is_near(buffer):
+    harness = MoverHarness(drain_within=20 * TICKS_PER_SECOND)
+    harness.play("p", buffer=buffer)
+    assert ended_plays(harness.drain(0)) == []
+    assert ended_plays(harness.send("buffer_reported", "p", (MIN_BUFFER_TICKS + 1) / TICKS_PER_SECOND)) == [
+        "p"
+    ]
+    harness = MoverHarness(drain_within=20 * TICKS_PER_SECOND)
+    harness.play("p", buffer=buffer)
+    harness.drain(0)
+    harness.run(14 * TICKS_PER_SECOND)
+    assert ended_plays(harness.actions) == []
+    harness.run(2 * TICKS_PER_SECOND)
+    assert ended_plays(harness.actions) == ["p"]
+
+
+def test_cancelled_drain_starts_no_further_move():
+    harness = MoverHarness(drain_within=60 * TICKS_PER_SECOND)
     for i in range(20):
-        rig.play(f"p{i:02}")
-    rig.settle(rig.drain(0))
-    rig.run(3 * S)
-    begun = len(ends(rig.said))
-    assert 0 < begun < 20
-    rig.drain(0, state="serving")
-    rig.run(10 * S)
-    assert len(ends(rig.said)) == begun and rig.mover.progress() == {}
-
-
-def test_two_nodes_draining_into_each_other_move_to_neither():
-    rig = Rig()
-    rig.play("a", "n0", cells=(0,))
-    rig.play("b", "n2", cells=(0,))
-    rig.settle(rig.drain(0, 2))
-    rig.run(10 * S)
-    assert ends(rig.said) == []
-
-
-def test_a_node_gone_before_the_moves_are_done_ends_its_plan():
-    rig = Rig()
+        harness.play(f"p{i:02}")
+    harness.complete_moves(harness.drain(0))
+    harness.run(3 * TICKS_PER_SECOND)
+    started = len(ended_plays(harness.actions))
+    assert 0 < started < 20
+    harness.drain(0, state="serving")
+    harness.run(10 * TICKS_PER_SECOND)
+    assert len(ended_plays(harness.actions)) == started and harness.mover.progress() == {}
+
+
+def test_no_play_moves_between_two_draining_nodes():
+    harness = MoverHarness()
+    harness.play("a", "n0", places=(0,))
+    harness.play("b", "n2", places=(0,))
+    harness.complete_moves(harness.drain(0, 2))
+    harness.run(10 * TICKS_PER_SECOND)
+    assert ended_plays(harness.actions) == []
+
+
+def test_drain_ends_when_its_node_leaves_the_list():
+    harness = MoverHarness()
     for i in range(5):
-        rig.play(f"p{i}")
-    rig.drain(0)
-    rig.list(gone=[0])
-    rig.run(5 * S)
-    assert "n0" not in rig.mover.plans and len(ends(rig.said)) <= MOST_OUT
-
-
-def test_an_end_that_nobody_confirmed_asks_for_nothing():
-    rig = Rig()
-    rig.play("p")
-    assert ends(rig.drain(0)) == ["p"]
-    assert [answer for answer in rig.hear("kept", "p") if answer[0] == "ask"] == []
-    rig.run(2 * S)
-    assert ends(rig.said) == ["p", "p"] and rig.hear("ended_there", "p") == []
-
-
-def test_nothing_is_ended_that_the_module_would_not_place():
-    rig = Rig(within=60 * S)
-    rig.room = False
-    rig.play("p")
-    rig.drain(0)
-    rig.run(5 * S)
-    assert ends(rig.said) == [] and rig.mover.seats["p"].tries > 2
-    rig.room = True
-    rig.run(5 * S)
-    assert ends(rig.said) == ["p"]
+        harness.play(f"p{i}")
+    harness.drain(0)
+    harness.list_nodes(gone=[0])
+    harness.run(5 * TICKS_PER_SECOND)
+    assert "n0" not in harness.mover.drains and len(ended_plays(harness.actions)) <= MAX_CONCURRENT_MOVES
+
+
+def test_unconfirmed_end_requests_no_place():
+    harness = MoverHarness()
+    harness.play("p")
+    assert ended_plays(harness.drain(0)) == ["p"]
+    assert [action for action in harness.send("end_unconfirmed", "p") if action[0] == "request_place"] == []
+    harness.run(2 * TICKS_PER_SECOND)
+    assert ended_plays(harness.actions) == ["p", "p"] and harness.send("end_confirmed", "p") == []
+
+
+def test_no_play_is_ended_that_the_module_would_not_place():
+    harness = MoverHarness(drain_within=60 * TICKS_PER_SECOND)
+    harness.module_has_room = False
+    harness.play("p")
+    harness.drain(0)
+    harness.run(5 * TICKS_PER_SECOND)
+    assert ended_plays(harness.actions) == [] and harness.mover.plays["p"].attempts > 2
+    harness.module_has_room = True
+    harness.run(5 * TICKS_PER_SECOND)
+    assert ended_plays(harness.actions) == ["p"]
 
 
 @pytest.mark.parametrize(
-    ("buffer", "limit", "tries"),
-    [(4.0, 99 * S, 5), (2.0, 99 * S, 3), (4.0, S // 2, 2), (None, 99 * S, 0), (1.0, 99 * S, 0)],
+    ("buffer", "limit", "retries"),
+    [
+        (4.0, 99 * TICKS_PER_SECOND, 5),
+        (2.0, 99 * TICKS_PER_SECOND, 3),
+        (4.0, TICKS_PER_SECOND // 2, 2),
+        (None, 99 * TICKS_PER_SECOND, 0),
+        (1.0, 99 * TICKS_PER_SECOND, 0),
+    ],
 )
-def test_a_declined_move_is_asked_again_while_the_buffer_and_the_limit_last(buffer, limit, tries):
-    rig = Rig()
-    rig.play("p", buffer=buffer)
-    rig.drain(0)
-    rig.now = rig.mover.plans["n0"].deadline - S  # with little in hand it goes at the end only
-    rig.wait(1)
-    rig.hear("ended_there", "p")
-    limit, pauses = rig.now + limit, []
-    while again := rig.hear("declined", "p", limit):
-        pauses += [span for _, _, span in again]
-        rig.now += pauses[-1]
-    assert len(pauses) == tries and pauses == sorted(pauses)
-    rig.hear("lost", "p")
-    assert "p" not in rig.mover.seats and not rig.mover.out
-
-
-def test_a_lost_move_is_counted_and_not_tried_again():
-    rig = Rig()
-    rig.play("p")
-    rig.drain(0)
-    assert rig.hear("ended_there", "p") == [("ask", "p")]
-    rig.hear("ended", "p")
-    rig.hear("lost", "p")
-    rig.run(5 * S)
-    assert ends(rig.said) == ["p"] and rig.mover.progress()["n0"]["lost"] == 1
-
-
-@pytest.mark.parametrize(("fronts", "most"), [(1, 3), (3, 1), (200, 1)])
-def test_all_fronts_together_have_no_more_out_than_there_are_nodes(fronts, most):
-    rig = Rig(fronts=fronts, within=2 * S)
+def test_declined_move_is_retried_while_the_buffer_and_the_time_limit_last(buffer, limit, retries):
+    harness = MoverHarness()
+    harness.play("p", buffer=buffer)
+    harness.drain(0)
+    # A play with a low buffer moves only near the deadline.
+    harness.now = harness.mover.drains["n0"].deadline - TICKS_PER_SECOND
+    harness.wait(1)
+    harness.send("end_confirmed", "p")
+    limit, delays = harness.now + limit, []
+    while actions := harness.send("move_declined", "p", limit):
+        delays += [delay for _, _, delay in actions]
+        harness.now += delays[-1]
+    assert len(delays) == retries and delays == sorted(delays)
+    harness.send("move_failed", "p")
+    assert "p" not in harness.mover.plays and not harness.mover.moving
+
+
+def test_failed_move_is_counted_as_lost_and_not_repeated():
+    harness = MoverHarness()
+    harness.play("p")
+    harness.drain(0)
+    assert harness.send("end_confirmed", "p") == [("request_place", "p")]
+    harness.send("play_ended", "p")
+    harness.send("move_failed", "p")
+    harness.run(5 * TICKS_PER_SECOND)
+    assert ended_plays(harness.actions) == ["p"] and harness.mover.progress()["n0"]["lost"] == 1
+
+
+@pytest.mark.parametrize(("fronts", "expected"), [(1, 3), (3, 1), (200, 1)])
+def test_concurrent_moves_are_limited_to_this_fronts_share_of_the_nodes(fronts, expected):
+    harness = MoverHarness(fronts=fronts, drain_within=2 * TICKS_PER_SECOND)
     for i in range(20):
-        rig.play(f"p{i:02}", rate=1.0)
-    rig.drain(0)
+        harness.play(f"p{i:02}", rate=1.0)
+    harness.drain(0)
     for _ in range(50):
-        rig.wait(SHORTEST)
-    assert len(rig.mover.out) == most
+        harness.wait(MIN_MOVE_INTERVAL_TICKS)
+    assert len(harness.mover.moving) == expected
 
 
-class AnyOrder(RuleBasedStateMachine):
-    """Any order of lists, plays, reports, buffers, ends and their outcomes, over any pauses."""
+class AnyEventOrder(RuleBasedStateMachine):
+    """Node lists, plays, reports, buffer levels, ends and their results in any order, at any interval."""
 
     names = Bundle("names")
 
     @initialize(fronts=st.sampled_from([1, 3, 50]))
-    def begin(self, fronts):
-        self.rig, self.count = Rig(fronts=fronts), 0
-        self.ended, self.asked, self.over, self.begun = set(), set(), set(), []
+    def create_mover(self, fronts):
+        self.harness, self.count = MoverHarness(fronts=fronts), 0
+        self.ended, self.requested, self.over, self.start_times = set(), set(), set(), []
         self.live = {}
 
-    def told(self, said):
-        for verb, *rest in said:
-            if verb == "end":
-                play = rest[0]
-                assert play in self.live and play not in self.ended | self.asked, "two out"
+    def check_actions(self, actions):
+        for name, *arguments in actions:
+            if name == "end":
+                play = arguments[0]
+                assert play in self.live and play not in self.ended | self.requested, "already moving"
                 node = self.live[play]
-                assert self.rig.states[int(node[1])] == "draining", "moved without a drain"
-                assert self.rig.now < self.rig.mover.plans[node].deadline, "moved past the deadline"
+                assert self.harness.states[int(node[1])] == "draining", "moved without a drain"
+                assert self.harness.now < self.harness.mover.drains[node].deadline, "moved past the deadline"
                 self.ended.add(play)
-                self.begun.append(self.rig.now)
-            elif verb == "ask":
-                assert rest[0] in self.ended
-                self.ended.discard(rest[0])
-                self.asked.add(rest[0])
-            elif verb == "wake":
-                assert rest[0] >= 1
+                self.start_times.append(self.harness.now)
+            elif name == "request_place":
+                assert arguments[0] in self.ended
+                self.ended.discard(arguments[0])
+                self.requested.add(arguments[0])
+            elif name == "wake":
+                assert arguments[0] >= 1
 
     @rule(
         target=names,
         node=st.integers(0, NODES - 1),
         rate=st.floats(1, 3000),
-        paid=st.booleans(),
+        has_side_effect=st.booleans(),
         importance=st.sampled_from([1.0, 2.0]),
-        ends=st.one_of(st.none(), st.integers(0, 60 * S)),
+        ends_in=st.one_of(st.none(), st.integers(0, 60 * TICKS_PER_SECOND)),
     )
-    def play(self, node, rate, paid, importance, ends):
+    def play_starts(self, node, rate, has_side_effect, importance, ends_in):
         self.count += 1
         name = f"p{self.count}"
         self.live[name] = f"n{node}"
-        until = None if ends is None else self.rig.now + ends
-        self.told(self.rig.hear("playing", name, f"n{node}", importance, paid, rate, (0, 1), until))
+        ends_at = None if ends_in is None else self.harness.now + ends_in
+        self.check_actions(
+            self.harness.send(
+                "play_started", name, f"n{node}", importance, has_side_effect, rate, (0, 1), ends_at
+            )
+        )
         return name
 
     @rule(name=names, seconds=st.floats(0, 8))
-    def buffer(self, name, seconds):
-        self.told(self.rig.hear("buffer", name, seconds))
+    def viewer_reports_buffer(self, name, seconds):
+        self.check_actions(self.harness.send("buffer_reported", name, seconds))
 
-    @rule(node=st.integers(0, NODES - 1), full=st.floats(0, 1.5))
-    def report(self, node, full):
-        self.rig.report(full, [node])
+    @rule(node=st.integers(0, NODES - 1), load=st.floats(0, 1.5))
+    def node_reports_load(self, node, load):
+        self.harness.report_loads(load, [node])
 
     @rule(node=st.integers(0, NODES - 1), state=st.sampled_from(["serving", "draining"]))
-    def state(self, node, state):
-        self.rig.states[node] = state
-        self.told(self.rig.list())
+    def node_changes_state(self, node, state):
+        self.harness.states[node] = state
+        self.check_actions(self.harness.list_nodes())
 
     @rule(node=st.integers(0, NODES - 1))
-    def started(self, node):
-        self.rig.started[node] = self.rig.now
-        self.told(self.rig.list())
+    def node_restarts(self, node):
+        self.harness.started[node] = self.harness.now
+        self.check_actions(self.harness.list_nodes())
 
-    @rule(span=st.integers(1, 3 * S))
-    def passes(self, span):
-        self.told(self.rig.wait(span))
+    @rule(span=st.integers(1, 3 * TICKS_PER_SECOND))
+    def time_passes(self, span):
+        self.check_actions(self.harness.wait(span))
 
-    @rule(name=names, sure=st.booleans())
-    def node_answers(self, name, sure):
+    @rule(name=names, confirmed=st.booleans())
+    def node_answers_end(self, name, confirmed):
         if name in self.ended:
-            if not sure:
+            if not confirmed:
                 self.ended.discard(name)
-            self.told(self.rig.hear("ended_there" if sure else "kept", name))
+            self.check_actions(self.harness.send("end_confirmed" if confirmed else "end_unconfirmed", name))
 
-    @rule(room=st.booleans())
-    def module_finds(self, room):
-        self.rig.room = room
+    @rule(has_room=st.booleans())
+    def module_room_changes(self, has_room):
+        self.harness.module_has_room = has_room
 
-    @rule(name=names, limit=st.integers(0, 5 * S))
+    @rule(name=names, limit=st.integers(0, 5 * TICKS_PER_SECOND))
     def module_declines(self, name, limit):
-        if name in self.asked:
-            for _, play, pause in self.rig.hear("declined", name, self.rig.now + limit):
-                assert play == name and 0 < pause < limit
-
-    @rule(name=names, how=st.sampled_from(["arrived", "lost"]))
-    def module_answers(self, name, how):
-        if name in self.asked:
-            self.asked.discard(name)
+        if name in self.requested:
+            for _, play, delay in self.harness.send("move_declined", name, self.harness.now + limit):
+                assert play == name and 0 < delay < limit
+
+    @rule(name=names, result=st.sampled_from(["move_succeeded", "move_failed"]))
+    def move_finishes(self, name, result):
+        if name in self.requested:
+            self.requested.discard(name)
             self.live.pop(name)
-            self.told(self.rig.hear(how, name))
+            self.check_actions(self.harness.send(result, name))
 
     @rule(name=consumes(names))
-    def viewer_ends(self, name):
-        if name in self.live and name not in self.ended | self.asked:
+    def viewer_leaves(self, name):
+        if name in self.live and name not in self.ended | self.requested:
             del self.live[name]
-            self.told(self.rig.hear("ended", name))
+            self.check_actions(self.harness.send("play_ended", name))
 
     @invariant()
-    def never_more_out_than_the_pace(self):
-        mover = self.rig.mover
-        assert len(self.ended | self.asked) <= max(1, MOST_OUT)
-        assert mover.out == self.ended | self.asked
-        assert all(b - a >= SHORTEST for a, b in zip(self.begun, self.begun[1:], strict=False))
+    def moves_stay_within_limit_and_pace(self):
+        mover = self.harness.mover
+        assert len(self.ended | self.requested) <= max(1, MAX_CONCURRENT_MOVES)
+        assert mover.moving == self.ended | self.requested
+        assert all(
+            b - a >= MIN_MOVE_INTERVAL_TICKS
+            for a, b in zip(self.start_times, self.start_times[1:], strict=False)
+        )
 
     @invariant()
-    def books_agree(self):
-        mover = self.rig.mover
-        assert set(mover.seats) == set(self.live)
-        for node, plan in mover.plans.items():
-            waiting = set(plan.ready) | set(plan.later)
-            assert waiting <= mover.at.get(node, set()) and not waiting & mover.out
-            assert not set(plan.ready) & set(plan.later)
+    def queues_hold_only_plays_of_their_node(self):
+        mover = self.harness.mover
+        assert set(mover.plays) == set(self.live)
+        for node, plan in mover.drains.items():
+            waiting = set(plan.ready) | set(plan.deferred)
+            assert waiting <= mover.plays_by_node.get(node, set()) and not waiting & mover.moving
+            assert not set(plan.ready) & set(plan.deferred)
 
 
-AnyOrder.TestCase.settings = settings(
+AnyEventOrder.TestCase.settings = settings(
     max_examples=60, stateful_step_count=40, deadline=None, derandomize=True, database=None
 )
-TestAnyOrder = AnyOrder.TestCase
+TestAnyEventOrder = AnyEventOrder.TestCase
 
 
-def test_old_reports_are_not_believed():
-    rig = Rig()
-    rig.play("p")
-    rig.report(0.95)
-    rig.now += FRESH + 1
-    # nobody heard: an average of one half, and room for a small play
-    assert ends(rig.drain(0)) == ["p"]
+def test_expired_reports_are_ignored():
+    harness = MoverHarness()
+    harness.play("p")
+    harness.report_loads(0.95)
+    harness.now += REPORT_MAX_AGE_TICKS + 1
+    # Without a recent report, nodes count as half full, so a small play fits.
+    assert ended_plays(harness.drain(0)) == ["p"]
