--- a/bench/fuzz_log.py
+++ b/bench/fuzz_log.py
@@ -14,17 +14,24 @@
 
 with atheris.instrument_imports(include=["curlewhall.recovery"]):
     from curlewhall.recovery import form
-    from curlewhall.recovery.state import Further, Out, Over, Playing, State, Took
+    from curlewhall.recovery.state import (
+        AllocationSent,
+        PlayEnded,
+        PlayStarted,
+        Reallocated,
+        RequestsAccepted,
+        State,
+    )
 
 SEEDS = [
-    Out("p-1", 0, "n001", "v", "t", "paid", True, 1),
-    Playing("p-1", 0),
-    Over("p-1"),
-    Took(5, 3),
-    Further(6),
+    AllocationSent("p-1", 0, "n001", "v", "t", "paid", True, 1),
+    PlayStarted("p-1", 0),
+    PlayEnded("p-1"),
+    RequestsAccepted(5, 3),
+    Reallocated(6),
 ]
-LOG = form.head(form.LOG) + b"".join(map(form.frame, SEEDS))
-WHOLE = form.snapshot(SEEDS)
+LOG = form.file_header(form.LOG_KIND) + b"".join(map(form.encode_entry, SEEDS))
+WHOLE = form.encode_snapshot(SEEDS)
 
 
 def once(data: bytes) -> None:
@@ -38,28 +45,31 @@
     elif way == 2:  # sound frames around anything: past the checksum
         payload = given.ConsumeBytes(4096)
         size = struct.pack("<I", len(payload))
-        raw = LOG + form.FRAME.pack(len(payload), form.crc32c.crc32c(size + payload)) + payload
+        raw = LOG + form.ENTRY_HEADER.pack(len(payload), form.crc32c.crc32c(size + payload)) + payload
     elif way == 3:
         at, piece = given.ConsumeIntInRange(0, len(WHOLE)), given.ConsumeBytes(64)
         raw = WHOLE[:at] + piece + WHOLE[at + len(piece) :]
     else:  # a sound snapshot of anything
         body = form.zstandard.ZstdCompressor().compress(given.ConsumeBytes(4096))
-        raw = form.head(form.SNAPSHOT) + struct.pack("<I", form.crc32c.crc32c(body)) + body
+        raw = form.file_header(form.SNAPSHOT_KIND) + struct.pack("<I", form.crc32c.crc32c(body)) + body
     state = State(10_000)
     try:
-        found, ended = form.entries(raw)
-        assert ended in ("", "torn", "damaged")
+        found, ended = form.decode_log(raw)
+        assert ended in ("", "truncated", "corrupt")
         for entry in found:
             state.apply(entry)
-        assert all(isinstance(entry, Out | Playing | Over | Took | Further) for entry in found)
+        assert all(
+            isinstance(entry, AllocationSent | PlayStarted | PlayEnded | RequestsAccepted | Reallocated)
+            for entry in found
+        )
     except (form.CorruptDataError, form.NewerFormatError):
         pass
     try:
-        for entry in form.read_snapshot(raw):
+        for entry in form.decode_snapshot(raw):
             state.apply(entry)
     except (form.CorruptDataError, form.NewerFormatError):
         pass
-    state.rows()
+    state.entries()
 
 
 if __name__ == "__main__":
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -21,8 +21,8 @@
 from rig import plan_for  # noqa: E402
 
 from curlewhall.recovery import form  # noqa: E402
-from curlewhall.recovery.state import Out, Over, Playing, Took  # noqa: E402
-from curlewhall.recovery.store import Files, Store  # noqa: E402
+from curlewhall.recovery.state import AllocationSent, PlayEnded, PlayStarted, RequestsAccepted  # noqa: E402
+from curlewhall.recovery.store import StateFolder, Store  # noqa: E402
 from curlewhall.wire.timers import Timers  # noqa: E402
 
 RIG = str(Path(__file__).with_name("rig.py"))
@@ -70,13 +70,13 @@
     ]
     for count in (10_000, 100_000):
         with tempfile.TemporaryDirectory() as name:
-            files = Files(name, 10_000)
+            files = StateFolder(name, 10_000)
             files.open()
             entries = [
                 entry
                 for i in range(count)
                 for entry in (
-                    Out(
+                    AllocationSent(
                         f"front-a-1f2e3d4c-{i:x}",
                         0,
                         f"n{i % 170:03}",
@@ -86,21 +86,21 @@
                         True,
                         i,
                     ),
-                    Playing(f"front-a-1f2e3d4c-{i:x}", 0),
+                    PlayStarted(f"front-a-1f2e3d4c-{i:x}", 0),
                 )
             ]
             files.append(entries)
-            log = files.size
+            log = files.log_bytes
             files.close()
             spent = []
             for _ in range(2):  # the first start reads the log and makes a snapshot, the second reads that
                 began = time.perf_counter()
-                again = Files(name, 10_000)
+                again = StateFolder(name, 10_000)
                 again.open()
                 spent.append(time.perf_counter() - began)
                 assert len(again.state.playing) == count
                 again.close()
-            whole = len(form.snapshot(again.state.rows()))
+            whole = len(form.encode_snapshot(again.state.entries()))
             cells = (count, f"{log / 1e6:.1f}", f"{spent[0]:.2f}", f"{spent[1]:.2f}", f"{whole / 1e6:.2f}")
             rows.append(f"| {' | '.join(map(str, cells))} |")
     return rows
@@ -110,7 +110,7 @@
     """An hour of plays in as little time as the disk takes: how large the folder becomes."""
     with tempfile.TemporaryDirectory() as name:
         loop = asyncio.get_running_loop()
-        files = Files(name, 10_000)
+        files = StateFolder(name, 10_000)
         files.open()
         store = Store(files, loop, Timers(loop), None)
         sizes, count, written, ends = [], 0, 0, deque()
@@ -119,7 +119,7 @@
                 count += 1
                 play = f"front-a-1f2e3d4c-{count:x}"
                 store.add(
-                    Out(
+                    AllocationSent(
                         play,
                         0,
                         f"n{count % 170:03}",
@@ -130,16 +130,16 @@
                         second * 1000,
                     )
                 )
-                store.add(Playing(play, 0))
+                store.add(PlayStarted(play, 0))
                 ends.append((second + life, play))
             while ends and ends[0][0] <= second:
-                store.add(Over(ends.popleft()[1]))
-            store.add(Took(second * 1000, rate))
+                store.add(PlayEnded(ends.popleft()[1]))
+            store.add(RequestsAccepted(second * 1000, rate))
             while store.writing:
                 await asyncio.sleep(0)
             sizes.append(sum(path.stat().st_size for path in Path(name).iterdir()))
             written = max(written, files.generation)
-        assert len(files.state.out) == rate * life
+        assert len(files.state.allocations) == rate * life
         store.close()
         mean = sum(sizes) / len(sizes) / 1e6
         return [
--- a/curlewhall/daemon/handover.py
+++ b/curlewhall/daemon/handover.py
@@ -20,7 +20,7 @@
 from curlewhall.front.nodes import module_row
 from curlewhall.moves.decide import REPORT_MAX_AGE_TICKS
 from curlewhall.recovery.state import Entry, State
-from curlewhall.recovery.store import Memory
+from curlewhall.recovery.store import MemoryStore
 from curlewhall.wire import forms
 
 from .channel import Channel
@@ -185,7 +185,7 @@
         for few in pieces(moving):
             say("moving", _pack(few))
         state = self.hand_store()
-        for few in pieces(state.rows() if state is not None else ()):
+        for few in pieces(state.entries() if state is not None else ()):
             say("entries", _pack(few))
         say("whole", front.driver.counts)
 
@@ -209,7 +209,7 @@
     def hand_store(self) -> State | None:
         """Give the folder up; the state itself goes along only where there is no folder."""
         play_store = self.driver.play_store
-        folder = not isinstance(play_store.store, Memory)
+        folder = not isinstance(play_store.store, MemoryStore)
         play_store.store.close()
         play_store.store = Forward(self.channel, play_store.state)
         return None if folder else play_store.state
--- a/curlewhall/drills/faulty.py
+++ b/curlewhall/drills/faulty.py
@@ -84,4 +84,4 @@
     """From now on every store of this process writes by what `control` says."""
     Faulty.control = control
     store.Disk = Faulty
-    store.LARGE = 4000  # a new generation every few dozen plays, so that a short day has some
+    store.MAX_LOG_BYTES = 4000  # a new generation every few dozen plays, so that a short day has some
--- a/curlewhall/front/serve.py
+++ b/curlewhall/front/serve.py
@@ -21,8 +21,7 @@
 from curlewhall.recovery.form import NewerFormatError
 from curlewhall.recovery.run import PlayStore
 from curlewhall.recovery.state import State
-from curlewhall.recovery.store import Files as StateFiles
-from curlewhall.recovery.store import Memory, Store, StoreLockedError
+from curlewhall.recovery.store import MemoryStore, StateFolder, Store, StoreLockedError
 from curlewhall.settings import start_settings
 from curlewhall.settings.front_pb2 import STRICT, FrontFile
 from curlewhall.settings.keys import read_keys
@@ -189,18 +188,18 @@
         """
         file, log = self.file, self.log
         if file.state.folder:
-            files = StateFiles(
+            folder = StateFolder(
                 file.state.folder,
                 file.rules.look_back_ms,
-                tell=lambda what, **facts: log.warning(what, **facts),
+                warn=lambda what, **facts: log.warning(what, **facts),
             )
-            state = files.open()
-            store = Store(files, self.loop, self.timers, log)
+            state = folder.open()
+            store = Store(folder, self.loop, self.timers, log)
         else:
             state = State(file.rules.look_back_ms)
             for entry in self.coming.entries if self.coming is not None else ():
                 state.apply(entry)
-            store = Memory(state, self.loop)
+            store = MemoryStore(state, self.loop)
         strict = bool(file.state.folder) and file.state.durability == STRICT
         # a folder that is empty may be one whose files were lost: only without one is it surely a first start
         alone = not file.state.folder and self.coming is None
--- a/curlewhall/recovery/__init__.py
+++ b/curlewhall/recovery/__init__.py
@@ -1,7 +1,8 @@
-"""What a front keeps on disk: allocations that are out, plays, the budget's window; and what it believes
-after a
-crash. `form` is the bytes, `state` what they say, `decide` what is believed (both without I/O), `store` the
-files.
+"""Durable state of a front: a write-ahead log and snapshots of its plays, and crash recovery from them.
+
+It holds the allocations in progress, the plays, and the time window of the reallocation budget. `state`
+defines the log entries and the state, `form` their encoding, `decide` what follows from the state after a
+crash (all without I/O), `store` the files, and `run` what the driver calls.
 
 See `docs/recovery/design.md` and `format.md`.
 """
--- a/curlewhall/recovery/form.py
+++ b/curlewhall/recovery/form.py
@@ -1,4 +1,4 @@
-"""The bytes of logs and snapshots. No I/O. Described in `docs/recovery/format.md`."""
+"""Encoding and decoding of log and snapshot files. Does no I/O. Format: `docs/recovery/format.md`."""
 
 import struct
 
@@ -10,12 +10,14 @@
 
 from .state import Entry
 
-MAGIC, VERSION = b"CWLH", 1
-HEAD = struct.Struct("<4sBBH")  # magic, version, kind, reserved
-FRAME = struct.Struct("<II")  # bytes of the payload; crc32c of that length and the payload
-LOG, SNAPSHOT = 1, 2
-LARGEST = 1 << 24  # bytes of a payload; a length beyond it is damage, not a request for memory
-INFLATED = 1 << 30  # bytes of a snapshot's content at most
+MAGIC = b"CWLH"
+VERSION = 1
+FILE_HEADER = struct.Struct("<4sBBH")  # magic, version, file kind, reserved
+ENTRY_HEADER = struct.Struct("<II")  # payload size in bytes; CRC-32C of the size field and the payload
+LOG_KIND = 1
+SNAPSHOT_KIND = 2
+MAX_PAYLOAD_BYTES = 1 << 24  # a larger size field is corrupt, and must not cause a large allocation
+MAX_SNAPSHOT_BYTES = 1 << 30  # after decompression
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(Entry).decode
@@ -23,81 +25,85 @@
 
 
 class NewerFormatError(CurlewhallError):
-    """Written by a later version of the program: nothing here may touch it."""
+    """The file was written by a later version of the program and must not be modified."""
 
-    remedy = "Start the version that wrote the state folder, or give this one an empty folder."
+    remedy = "Start the version that wrote the state folder, or configure an empty state folder for this one."
 
 
 class CorruptDataError(CurlewhallError):
-    """Not what was written."""
+    """The file's content is not what was written."""
 
-    remedy = "Nothing at once: what is sound before it is gone by; look at the disk if it repeats."
+    remedy = "No action is needed: the intact data before the damage is used. Check the disk if this recurs."
 
 
-def head(kind: int) -> bytes:
-    return HEAD.pack(MAGIC, VERSION, kind, 0)
+def file_header(kind: int) -> bytes:
+    """Return the header of a file of `LOG_KIND` or `SNAPSHOT_KIND`."""
+    return FILE_HEADER.pack(MAGIC, VERSION, kind, 0)
 
 
-def check_head(data: bytes, kind: int) -> None:
-    """`NewerFormatError` for a later version, `CorruptDataError` for all else but a head of that kind."""
-    if len(data) < HEAD.size:
-        raise CorruptDataError("no head")
-    magic, version, found, _ = HEAD.unpack_from(data)
+def check_file_header(data: bytes, kind: int) -> None:
+    """Raise `NewerFormatError` for a later format version, `CorruptDataError` for any other wrong header."""
+    if len(data) < FILE_HEADER.size:
+        raise CorruptDataError(f"file is shorter than its header: {len(data)} of {FILE_HEADER.size} bytes")
+    magic, version, found, _ = FILE_HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise CorruptDataError("not a file of this program")
+        raise CorruptDataError(f"file starts with {magic!r}, expected {MAGIC!r}")
     if version > VERSION:
-        raise NewerFormatError(f"version {version}, this program knows {VERSION}")
+        raise NewerFormatError(f"file has format version {version}; this program reads up to {VERSION}")
     if found != kind:
-        raise CorruptDataError(f"kind {found}, expected {kind}")
+        raise CorruptDataError(f"file is of kind {found}, expected {kind}")
 
 
-def frame(entry: Entry) -> bytes:
+def encode_entry(entry: Entry) -> bytes:
+    """Return an entry as it is appended to a log."""
     payload = _encode(entry)
     size = struct.pack("<I", len(payload))
-    return FRAME.pack(len(payload), crc32c.crc32c(size + payload)) + payload
+    return ENTRY_HEADER.pack(len(payload), crc32c.crc32c(size + payload)) + payload
 
 
-def entries(data: bytes) -> tuple[list[Entry], str]:
-    """All entries of a log up to its end or its first damage, and what ended it: "", "torn" or "damaged".
+def decode_log(data: bytes) -> tuple[list[Entry], str]:
+    """Return the entries of a log up to its end or the first damage, and the damage: "", "truncated" or
+    "corrupt".
 
-    What stands after a damage is not read: a later entry means something only after the earlier ones.
+    Entries after the damage are not read, because they have a meaning only after the ones before them. Raise
+    `CorruptDataError` or `NewerFormatError` for a wrong file header.
     """
-    check_head(data, LOG)
-    found, at = [], HEAD.size
+    check_file_header(data, LOG_KIND)
+    found, at = [], FILE_HEADER.size
     while at < len(data):
-        if at + FRAME.size > len(data):
-            return found, "torn"
-        size, crc = FRAME.unpack_from(data, at)
-        if size > LARGEST:
-            return found, "damaged"
-        payload = data[at + FRAME.size : at + FRAME.size + size]
+        if at + ENTRY_HEADER.size > len(data):
+            return found, "truncated"
+        size, crc = ENTRY_HEADER.unpack_from(data, at)
+        if size > MAX_PAYLOAD_BYTES:
+            return found, "corrupt"
+        payload = data[at + ENTRY_HEADER.size : at + ENTRY_HEADER.size + size]
         if len(payload) < size:
-            return found, "torn"
+            return found, "truncated"
         if crc32c.crc32c(struct.pack("<I", size) + payload) != crc:
-            return found, "damaged"
+            return found, "corrupt"
         try:
             found.append(_decode(payload))
         except msgspec.DecodeError:
-            return found, "damaged"
-        at += FRAME.size + size
+            return found, "corrupt"
+        at += ENTRY_HEADER.size + size
     return found, ""
 
 
-def snapshot(rows: list[Entry]) -> bytes:
-    """A whole state as one file's bytes: head, crc32c of the rest, compressed entries."""
-    body = zstandard.ZstdCompressor(level=3).compress(_encode(rows))
-    return head(SNAPSHOT) + struct.pack("<I", crc32c.crc32c(body)) + body
+def encode_snapshot(entries: list[Entry]) -> bytes:
+    """Return a snapshot file: header, CRC-32C of the rest, compressed entries."""
+    body = zstandard.ZstdCompressor(level=3).compress(_encode(entries))
+    return file_header(SNAPSHOT_KIND) + struct.pack("<I", crc32c.crc32c(body)) + body
 
 
-def read_snapshot(data: bytes) -> list[Entry]:
-    """The entries of a snapshot; `CorruptDataError` or `NewerFormatError`."""
-    check_head(data, SNAPSHOT)
-    if len(data) < HEAD.size + 4:
-        raise CorruptDataError("cut short")
-    body = data[HEAD.size + 4 :]
-    if struct.unpack_from("<I", data, HEAD.size)[0] != crc32c.crc32c(body):
-        raise CorruptDataError("its checksum is another")
+def decode_snapshot(data: bytes) -> list[Entry]:
+    """Return the entries of a snapshot; raise `CorruptDataError` or `NewerFormatError`."""
+    check_file_header(data, SNAPSHOT_KIND)
+    if len(data) < FILE_HEADER.size + 4:
+        raise CorruptDataError(f"snapshot ends within its checksum, after {len(data)} bytes")
+    body = data[FILE_HEADER.size + 4 :]
+    if struct.unpack_from("<I", data, FILE_HEADER.size)[0] != crc32c.crc32c(body):
+        raise CorruptDataError("snapshot checksum does not match its content")
     try:
-        return _decode_all(zstandard.ZstdDecompressor().decompress(body, max_output_size=INFLATED))
+        return _decode_all(zstandard.ZstdDecompressor().decompress(body, max_output_size=MAX_SNAPSHOT_BYTES))
     except (zstandard.ZstdError, msgspec.DecodeError) as err:
         raise CorruptDataError(str(err)) from None
--- a/curlewhall/recovery/null_objects.py
+++ b/curlewhall/recovery/null_objects.py
@@ -1,16 +1,16 @@
-"""What stands in for the play store where nothing is kept. Needs none of the libraries that keeping needs."""
+"""Null object for the play store of a front that keeps no state. Imports none of the store's dependencies."""
 
 from collections.abc import Callable
 
 
 class NoPlayStore:
-    """A front without a state folder: nothing is kept, nothing waits."""
+    """Records nothing and delays nothing. Also defines the interface that the driver uses."""
 
     def may_reallocate(self) -> bool:
         return True
 
     def record_allocation(
-        self, active_play, number: int, node: str, paid: bool, go: Callable[[bool], None]
+        self, active_play, number: int, node: str, paid: bool, on_durable: Callable[[bool], None]
     ) -> bool:
         return True
 
--- a/curlewhall/recovery/run.py
+++ b/curlewhall/recovery/run.py
@@ -1,64 +1,81 @@
-"""Between the front's driver and its store: what is written when, and what may wait for it."""
+"""What the front's driver calls to record its plays, and to ask about the state recovered after a crash."""
 
 import time
 from collections.abc import Callable
 
-from .decide import Doubts, Window, ran_for
+from .decide import ReallocationBudget, UncertainAllocations, min_uptime_ms
 from .null_objects import NoPlayStore
-from .state import Further, Out, Over, Playing, State, Took
-from .store import Memory, Store
+from .state import AllocationSent, PlayEnded, PlayStarted, Reallocated, RequestsAccepted, State
+from .store import MemoryStore, Store
 
 
 def unix_ms() -> int:
     return time.time_ns() // 1_000_000
 
 
-def steady_ms() -> int:
+def monotonic_ms() -> int:
     return time.monotonic_ns() // 1_000_000
 
 
 class PlayStore(NoPlayStore):
-    """Writes entries to a store. `strict`: a paid or further allocation goes out only once it is on disk.
+    """Records a front's plays in a store.
 
-    `alone`: no process of this front was there before, so that the module's own count of the budget is whole.
+    `strict`: paid allocations and reallocations are sent only after they are on disk. `first_process`: this
+    front has had no earlier process, so the module's own count of the reallocation budget is complete.
     """
 
     def __init__(
-        self, store: Store | Memory, strict: bool, start_settings: dict, state: State, alone: bool = False
+        self,
+        store: Store | MemoryStore,
+        strict: bool,
+        start_settings: dict,
+        state: State,
+        first_process: bool = False,
     ) -> None:
-        self.store, self.strict, self.state, self.alone = store, strict, state, alone
-        # Danger: a wall clock set back under a running front would prolong every doubt by as much.
-        self.offset = unix_ms() - steady_ms()
+        self.store = store
+        self.strict = strict
+        self.state = state
+        self.first_process = first_process
+        # A wall clock set back while the front runs would extend every uncertainty by as much, so only the
+        # start time is taken from it.
+        self.clock_offset_ms = unix_ms() - monotonic_ms()
         now = self.now()
         look_back = start_settings.get("rules.look_back")
-        self.window = Window(
+        self.reallocation_budget = ReallocationBudget(
             self.state,
             now,
             None if look_back is None else look_back // 10,
             start_settings.get("rules.spare_allocations", 0),
             start_settings.get("rules.extra_per_request", 0.0),
         )
-        self.doubts = Doubts(self.state, now)
-        self.warm = start_settings.get("rules.warm_within", 0) // 10
-        self.second, self.count = 0, 0
+        self.uncertain_allocations = UncertainAllocations(self.state, now)
+        self.warm_within_ms = start_settings.get("rules.warm_within", 0) // 10
+        self.accepted_second = 0  # Unix time in seconds
+        self.accepted_count = 0  # plays accepted in that second
 
     def now(self) -> int:
-        """The wall clock of this process's start, gone on steadily."""
-        return self.offset + steady_ms()
+        """Return the Unix time in ms, as the wall clock at the start plus the monotonic time since then."""
+        return self.clock_offset_ms + monotonic_ms()
 
     def may_reallocate(self) -> bool:
-        return self.alone or self.window.may(self.now(), self.count)
+        """Whether the budget, counted across the restart, allows one more reallocation."""
+        return self.first_process or self.reallocation_budget.allows_reallocation(
+            self.now(), self.accepted_count
+        )
 
     def record_allocation(
-        self, active_play, number: int, node: str, paid: bool, go: Callable[[bool], None]
+        self, active_play, number: int, node: str, paid: bool, on_durable: Callable[[bool], None]
     ) -> bool:
-        """Whether the allocation may go out now; if not, `go` is called once it may, or may not."""
+        """Record an allocation that is about to be sent. Return True if it may be sent now.
+
+        Otherwise, `on_durable(durable)` is called later with whether the record is on disk.
+        """
         facts, now = active_play.info, self.now()
         if number:
-            self.store.add(Further(now))
+            self.store.add(Reallocated(now))
         waits = self.strict and (paid or number > 0)
         self.store.add(
-            Out(
+            AllocationSent(
                 facts.play,
                 number + active_play.number_offset,
                 node,
@@ -68,43 +85,49 @@
                 paid,
                 now,
             ),
-            go if waits else None,
+            on_durable if waits else None,
         )
         return not waits
 
     def allocation_playing(self, play: str, number: int) -> None:
-        self.store.add(Playing(play, number))
+        """Record the first frame of an allocation."""
+        self.store.add(PlayStarted(play, number))
 
     def play_over(self, play: str) -> None:
-        if play in self.state.out:
-            self.store.add(Over(play))
+        """Record the end of a play, if it has a recorded allocation."""
+        if play in self.state.allocations:
+            self.store.add(PlayEnded(play))
 
     def request_accepted(self) -> None:
+        """Count an accepted play; the count of each second is recorded when the next one begins."""
         now = self.now()
-        if now // 1000 != self.second:
-            if self.count:
-                self.store.add(Took(now, self.count))
-            self.second, self.count = now // 1000, 0
-        self.count += 1
+        if now // 1000 != self.accepted_second:
+            if self.accepted_count:
+                self.store.add(RequestsAccepted(now, self.accepted_count))
+            self.accepted_second, self.accepted_count = now // 1000, 0
+        self.accepted_count += 1
 
     def node_connected(self, node: str, plays) -> None:
-        """A node has said which plays it holds for this front; what else the disk has of it is over."""
-        self.doubts.cleared(node)
+        """A node has reported the plays it holds for this front: record the end of its other plays."""
+        self.uncertain_allocations.clear_node(node)
         for play in [
-            out.play for out in self.state.out.values() if out.node == node and out.play not in plays
+            allocation.play
+            for allocation in self.state.allocations.values()
+            if allocation.node == node and allocation.play not in plays
         ]:
-            self.store.add(Over(play))
+            self.store.add(PlayEnded(play))
 
     def played_ms(self, play: str, number: int) -> int:
-        """For how long the node that shows the play has run at least, as far as it matters: milliseconds."""
-        return ran_for(self.state, self.now(), play, number, self.warm)
+        """Return for how long the node that holds the play has run at least, up to the warm-up time."""
+        return min_uptime_ms(self.state, self.now(), play, number, self.warm_within_ms)
 
     def is_uncertain(self, viewer: str, title: str, product: str) -> bool:
-        return self.doubts.doubtful(self.now(), viewer, title, product)
+        """Whether an earlier paid set-up for this viewer may have run on a node that has not reported yet."""
+        return self.uncertain_allocations.is_uncertain(self.now(), viewer, title, product)
 
     def awaits_node(self, node: str) -> bool:
-        """Whether a paid play's fate hangs on what this node says."""
-        return node in self.doubts.by_node
+        """Whether a paid allocation stays uncertain until this node reports its plays."""
+        return node in self.uncertain_allocations.by_node
 
     def close(self) -> None:
         self.store.close()
--- a/curlewhall/recovery/state.py
+++ b/curlewhall/recovery/state.py
@@ -1,6 +1,6 @@
-"""What is kept, as entries of the log and as the state that they add up to. No I/O.
+"""The log entries, and the state that results from applying them. Does no I/O.
 
-Times are milliseconds since 1970: they have to mean something to the next process.
+Times are Unix time in milliseconds, so that the next process can interpret them.
 """
 
 from collections import deque
@@ -8,8 +8,8 @@
 import msgspec
 
 
-class Out(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """An allocation is about to go out."""
+class AllocationSent(msgspec.Struct, frozen=True, array_like=True, tag=1):
+    """An allocation is about to be sent to its node."""
 
     play: str
     number: int
@@ -21,87 +21,93 @@
     at: int
 
 
-class Playing(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Its first frame has come."""
+class PlayStarted(msgspec.Struct, frozen=True, array_like=True, tag=2):
+    """The first frame of an allocation has arrived."""
 
     play: str
     number: int
 
 
-class Over(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """The play, or the last of its allocations, is over."""
+class PlayEnded(msgspec.Struct, frozen=True, array_like=True, tag=3):
+    """A play has ended, or the last of its allocations has."""
 
     play: str
 
 
-class Took(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """So many plays were taken in the second that ended at `at`."""
+class RequestsAccepted(msgspec.Struct, frozen=True, array_like=True, tag=4):
+    """`count` plays were accepted in the second before `at`."""
 
     at: int
     count: int
 
 
-class Further(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """An allocation after its play's first."""
+class Reallocated(msgspec.Struct, frozen=True, array_like=True, tag=5):
+    """A play got an allocation after its first one."""
 
     at: int
 
 
-Entry = Out | Playing | Over | Took | Further
+Entry = AllocationSent | PlayStarted | PlayEnded | RequestsAccepted | Reallocated
 
 
 class State:
-    """Plays by id, and the budget's window. `window` is the length of the latter in milliseconds."""
+    """Plays by id, and the entries within the budget's window. `window_ms`: the length of that window."""
 
-    def __init__(self, window: int = 0) -> None:
-        self.window = window
-        self.out: dict[str, Out] = {}
+    def __init__(self, window_ms: int = 0) -> None:
+        self.window_ms = window_ms
+        self.allocations: dict[str, AllocationSent] = {}  # the latest of each play
         self.playing: set[str] = set()
-        self.took: deque[Took] = deque()
-        self.further: deque[int] = deque()
-        self.latest = 0
+        self.accepted: deque[RequestsAccepted] = deque()
+        self.reallocations: deque[int] = deque()
+        self.latest = 0  # time of the newest entry
 
     def apply(self, entry: Entry) -> None:
-        """Take one entry. Entries of plays that are not known are passed over: their beginning was lost."""
-        if isinstance(entry, Out):
-            self.out[entry.play] = entry
+        """Update the state with an entry.
+
+        A `PlayStarted` or `PlayEnded` of an unknown play has no effect: its `AllocationSent` was lost.
+        """
+        if isinstance(entry, AllocationSent):
+            self.allocations[entry.play] = entry
             self.playing.discard(entry.play)
             self.latest = max(self.latest, entry.at)
-        elif isinstance(entry, Playing):
-            if entry.play in self.out and self.out[entry.play].number == entry.number:
+        elif isinstance(entry, PlayStarted):
+            if entry.play in self.allocations and self.allocations[entry.play].number == entry.number:
                 self.playing.add(entry.play)
-        elif isinstance(entry, Over):
-            self.out.pop(entry.play, None)
+        elif isinstance(entry, PlayEnded):
+            self.allocations.pop(entry.play, None)
             self.playing.discard(entry.play)
-        elif isinstance(entry, Took):
-            self.took.append(entry)
+        elif isinstance(entry, RequestsAccepted):
+            self.accepted.append(entry)
             self.latest = max(self.latest, entry.at)
         else:
-            self.further.append(entry.at)
+            self.reallocations.append(entry.at)
             self.latest = max(self.latest, entry.at)
-        self.forget(self.latest)
-
-    def forget(self, now: int) -> None:
-        """Drop what has left the window."""
-        while self.took and self.took[0].at <= now - self.window:
-            self.took.popleft()
-        while self.further and self.further[0] <= now - self.window:
-            self.further.popleft()
-
-    def set_back(self, now: int) -> None:
-        """Take what comes from the future for new. Danger: a clock set back before this start; a window that
-        goes by the future's times forgets each new entry at once.
+        self.expire(self.latest)
+
+    def expire(self, now: int) -> None:
+        """Remove what is older than the budget's window."""
+        while self.accepted and self.accepted[0].at <= now - self.window_ms:
+            self.accepted.popleft()
+        while self.reallocations and self.reallocations[0] <= now - self.window_ms:
+            self.reallocations.popleft()
+
+    def clamp_future_times(self, now: int) -> None:
+        """Set times after `now` to `now`.
+
+        They exist if the clock was set back before this start. Left as they are, `latest` would expire each
+        new entry at once.
         """
         if self.latest > now:
             self.latest = now
-            self.out = {
-                play: msgspec.structs.replace(out, at=min(out.at, now)) for play, out in self.out.items()
+            self.allocations = {
+                play: msgspec.structs.replace(allocation, at=min(allocation.at, now))
+                for play, allocation in self.allocations.items()
             }
-            self.took = deque(Took(min(row.at, now), row.count) for row in self.took)
-            self.further = deque(min(at, now) for at in self.further)
-
-    def rows(self) -> list[Entry]:
-        """The state as entries that add up to it again."""
-        found: list[Entry] = list(self.out.values())
-        found += [Playing(play, self.out[play].number) for play in sorted(self.playing)]
-        return [*found, *self.took, *(Further(at) for at in self.further)]
+            self.accepted = deque(RequestsAccepted(min(row.at, now), row.count) for row in self.accepted)
+            self.reallocations = deque(min(at, now) for at in self.reallocations)
+
+    def entries(self) -> list[Entry]:
+        """Return entries that rebuild this state when applied to an empty one."""
+        found: list[Entry] = list(self.allocations.values())
+        found += [PlayStarted(play, self.allocations[play].number) for play in sorted(self.playing)]
+        return [*found, *self.accepted, *(Reallocated(at) for at in self.reallocations)]
--- a/curlewhall/recovery/store.py
+++ b/curlewhall/recovery/store.py
@@ -1,9 +1,8 @@
-"""The files of one front: a log with group commit, snapshots, one folder that one process owns.
+"""The files of a front's state: a log with group commit and snapshots, in a folder that one process locks.
 
-Damage never stops a start: what can be read is taken, the rest is told, and a fresh generation is begun, so
-that nothing is ever appended to a damaged file. Two things do stop it: a folder that another process holds,
-and
-files of a later version.
+Damaged files never prevent a start: what can be read is used, the damage is logged, and a new generation is
+begun, so that nothing is appended to a damaged file. A start fails only if another process holds the folder,
+or if a file was written by a later version.
 """
 
 import asyncio
@@ -19,21 +18,21 @@
 from . import form
 from .state import Entry, State
 
-LARGE = 4 << 20  # bytes of a log after which a snapshot is made: some 40,000 entries, read back in a second
-AGAIN = 1.0  # seconds until a disk that failed is tried again
+MAX_LOG_BYTES = 4 << 20  # then a snapshot is made; about 40,000 entries, which are read back in a second
+DISK_RETRY_DELAY_S = 1.0  # after a failed write
 
 
 class StoreLockedError(CurlewhallError):
-    """Another process holds the folder."""
+    """Another process holds the state folder."""
 
-    remedy = "Stop the process that holds the state folder, or name another state.folder."
+    remedy = "Stop the process that holds the state folder, or set state.folder to another one."
 
 
 class Disk:
-    """What the store does to files; tests put one that fails in its place."""
+    """File operations of the store; tests and drills replace it to inject faults."""
 
     def write(self, path: Path, data: bytes) -> None:
-        """A whole new file, on disk before this returns."""
+        """Write a new file; it is on disk when this returns."""
         with open(path, "wb") as file:
             file.write(data)
             file.flush()
@@ -41,13 +40,14 @@
         self.sync(path.parent)
 
     def append(self, path: Path, data: bytes) -> None:
-        """More of a file, on disk before this returns."""
+        """Append to a file; the data is on disk when this returns."""
         with open(path, "ab") as file:
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
 
     def replace(self, old: Path, new: Path) -> None:
+        """Rename a file over another one; the rename is on disk when this returns."""
         os.replace(old, new)
         self.sync(new.parent)
 
@@ -58,38 +58,47 @@
         path.unlink(missing_ok=True)
 
     def names(self, folder: Path) -> list[str]:
+        """Return the sorted names of the files in a folder."""
         return sorted(os.listdir(folder))
 
     def sync(self, folder: Path) -> None:
-        number = os.open(folder, os.O_RDONLY)
+        """Flush a folder's entries to disk."""
+        descriptor = os.open(folder, os.O_RDONLY)
         try:
-            os.fsync(number)
+            os.fsync(descriptor)
         finally:
-            os.close(number)
+            os.close(descriptor)
 
 
-class Files:
-    """The generations of a folder, without a thread: `Store` adds that."""
+class StateFolder:
+    """Reads and writes the generations of a state folder, synchronously; `Store` adds the thread.
+
+    `warn` logs an event with keyword fields; `now` returns Unix time in milliseconds.
+    """
 
     def __init__(
         self,
         folder: str | Path,
-        window: int,
+        window_ms: int,
         disk: Disk | None = None,
-        tell: Callable[..., None] = lambda *facts, **named: None,
+        warn: Callable[..., None] = lambda *facts, **named: None,
         now: Callable[[], int] = lambda: time.time_ns() // 1_000_000,
     ) -> None:
-        self.folder, self.disk, self.tell, self.now = Path(folder), disk or Disk(), tell, now
-        self.state, self.generation, self.size, self.lock = State(window), 0, 0, None
-        self.ill = False
-
-    def name(self, kind: str, generation: int) -> Path:
+        self.folder, self.disk, self.warn, self.now = Path(folder), disk or Disk(), warn, now
+        self.state = State(window_ms)
+        self.generation = 0
+        self.log_bytes = 0
+        self.lock: int | None = None  # file descriptor
+        self.failed = False  # the first generation could not be written
+
+    def path(self, kind: str, generation: int) -> Path:
+        """Return the path of a generation's "snapshot" or "log"."""
         return self.folder / f"{kind}-{generation:08}"
 
     def open(self) -> State:
-        """Own the folder and read it: the state of the process before.
+        """Lock the folder and return the state that the previous process left in it.
 
-        Raises `StoreLockedError`, `form.NewerFormatError` or `OSError`.
+        Raise `StoreLockedError`, `form.NewerFormatError` or `OSError`.
         """
         self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
         self.lock = os.open(self.folder / "lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
@@ -98,208 +107,229 @@
         except OSError:
             os.close(self.lock)
             self.lock = None
-            raise StoreLockedError(f"{self.folder}: another process holds it") from None
+            raise StoreLockedError(f"{self.folder}: locked by another process") from None
         try:
             self.recover()
-            self.state.set_back(self.now())
-            self.begin(self.generation + 1)
+            self.state.clamp_future_times(self.now())
+            self.start_generation(self.generation + 1)
         except OSError as err:
-            # Danger: a full disk must not become a crash loop. Nothing is kept until it can be.
-            self.ill = True
-            self.tell("the state can't be kept", why=describe(err))
+            # A full disk must not become a crash loop: the front starts, and `Store` retries the write.
+            self.failed = True
+            self.warn("cannot write the state", why=describe(err))
         except BaseException:
             self.close()
             raise
         return self.state
 
     def recover(self) -> None:
-        """The newest sound snapshot and the logs from its generation on."""
-        there: dict[str, list[int]] = {"snapshot": [], "log": []}
+        """Read the newest intact snapshot, then replay the logs from its generation on."""
+        generations: dict[str, list[int]] = {"snapshot": [], "log": []}
         for name in self.disk.names(self.folder):
             kind, _, number = name.partition("-")
-            if kind in there and number.isdigit():
-                there[kind].append(int(number))
-        self.generation = max([*there["snapshot"], *there["log"], 0])
+            if kind in generations and number.isdigit():
+                generations[kind].append(int(number))
+        self.generation = max([*generations["snapshot"], *generations["log"], 0])
         base = -1
-        for generation in sorted(there["snapshot"], reverse=True):
+        for generation in sorted(generations["snapshot"], reverse=True):
             try:
-                rows = form.read_snapshot(self.disk.read(self.name("snapshot", generation)))
+                entries = form.decode_snapshot(self.disk.read(self.path("snapshot", generation)))
             except (form.CorruptDataError, OSError) as err:
-                self.tell("a snapshot can't be read", generation=generation, why=describe(err))
+                self.warn("cannot read a snapshot", generation=generation, why=describe(err))
                 continue
             base = generation
-            for row in rows:
-                self.state.apply(row)
+            for entry in entries:
+                self.state.apply(entry)
             break
-        for generation in sorted(there["log"]):
+        for generation in sorted(generations["log"]):
             if generation < base:
                 continue
             try:
-                rows, ended = form.entries(self.disk.read(self.name("log", generation)))
+                entries, damage = form.decode_log(self.disk.read(self.path("log", generation)))
             except (form.CorruptDataError, OSError) as err:
-                rows, ended = [], describe(err)
-            for row in rows:
-                self.state.apply(row)
-            if ended:
-                self.tell("a log ends early", generation=generation, entries=len(rows), why=ended)
-
-    def begin(self, generation: int, whole: bytes | None = None) -> None:
-        """A new generation: a snapshot (`whole`, or of what is known), an empty log; the one before is kept,
-        older ones go.
+                entries, damage = [], describe(err)
+            for entry in entries:
+                self.state.apply(entry)
+            if damage:
+                self.warn(
+                    "log is damaged; its remaining entries are lost",
+                    generation=generation,
+                    entries=len(entries),
+                    why=damage,
+                )
+
+    def start_generation(self, generation: int, snapshot: bytes | None = None) -> None:
+        """Write a snapshot (`snapshot`, or one of the current state) and an empty log.
+
+        The previous generation is kept; older ones are deleted.
         """
-        there = self.name("snapshot", generation)
-        fresh = there.with_name("new-snapshot")
-        self.disk.write(fresh, form.snapshot(self.state.rows()) if whole is None else whole)
-        self.disk.write(self.name("log", generation), form.head(form.LOG))
-        self.disk.replace(fresh, there)
-        old, self.generation, self.size = self.generation, generation, form.HEAD.size
+        snapshot_path = self.path("snapshot", generation)
+        temporary = snapshot_path.with_name("new-snapshot")
+        self.disk.write(
+            temporary, form.encode_snapshot(self.state.entries()) if snapshot is None else snapshot
+        )
+        self.disk.write(self.path("log", generation), form.file_header(form.LOG_KIND))
+        self.disk.replace(temporary, snapshot_path)
+        previous, self.generation, self.log_bytes = self.generation, generation, form.FILE_HEADER.size
         for name in self.disk.names(self.folder):
             kind, _, number = name.partition("-")
-            if kind in ("snapshot", "log") and number.isdigit() and int(number) < old:
+            if kind in ("snapshot", "log") and number.isdigit() and int(number) < previous:
                 self.disk.remove(self.folder / name)
 
-    def append(self, rows: list[Entry]) -> None:
-        """Put entries on disk; `OSError` where they are not surely there."""
-        data = b"".join(map(form.frame, rows))
-        self.disk.append(self.name("log", self.generation), data)
-        self.size += len(data)
+    def append(self, entries: list[Entry]) -> None:
+        """Append entries to the log; raise `OSError` if they may not be on disk."""
+        data = b"".join(map(form.encode_entry, entries))
+        self.disk.append(self.path("log", self.generation), data)
+        self.log_bytes += len(data)
 
     def close(self) -> None:
+        """Release the lock."""
         if self.lock is not None:
             os.close(self.lock)
             self.lock = None
 
 
 class Store:
-    """Files with a thread of their own: entries of one turn, and of a write under way, go to disk
-    together.
+    """Writes entries to a state folder in a thread, with group commit.
 
-    The state is read and changed on the loop alone; files and their counts in the thread, one call at a time,
-    and on the loop only while none is under way: every call of the disk but those of `open` and `close` is
-    made by the thread.
+    The entries of one turn of the event loop, or those added during the previous write, are written together.
+    The state is used on the event loop only. The folder is used by the thread, one call at a time, and by the
+    loop only while no call is in progress; the thread makes all calls of the disk but those in `open` and
+    `close`.
     """
 
-    def __init__(self, files: Files, loop, timers, log) -> None:
-        self.files, self.loop, self.timers, self.log = files, loop, timers, log
-        self.rows: list[Entry] = []
-        self.thens: list[Callable[[bool], None]] = []
-        self.thread = ThreadPoolExecutor(1, thread_name_prefix="store")
-        self.writing = self.failing = self.mending = self.closed = False
-        self.under_way: Future | None = None  # the thread's latest call
-        self.commits = self.entries = 0
-        if files.ill:
+    def __init__(self, folder: StateFolder, loop, timers, log) -> None:
+        self.folder, self.loop, self.timers, self.log = folder, loop, timers, log
+        self.pending_entries: list[Entry] = []
+        self.pending_callbacks: list[Callable[[bool], None]] = []
+        self.executor = ThreadPoolExecutor(1, thread_name_prefix="store")
+        self.writing = False
+        self.failing = False  # the last write failed
+        self.rewriting = False  # the whole state is being written after a failure
+        self.closed = False
+        self.last_call: Future | None = None  # the latest call in the thread
+        self.commits = self.entries_written = 0
+        if folder.failed:
             self.failing = True
-            timers.after(AGAIN, self.again)
-
-    def add(self, entry: Entry, then: Callable[[bool], None] | None = None) -> None:
-        """Keep an entry. `then(sure)` is called once it is on disk, or once it is known that it is not."""
-        self.files.state.apply(entry)
-        if self.failing or self.closed:  # the state has it, and is written whole when the disk is back
-            if self.mending:
-                self.rows.append(entry)  # after the whole that is being written
-            if then is not None:
-                self.loop.call_soon(then, False)
+            timers.after(DISK_RETRY_DELAY_S, self.retry)
+
+    def add(self, entry: Entry, on_durable: Callable[[bool], None] | None = None) -> None:
+        """Record an entry. `on_durable(durable)` is called once it is on disk, or known not to be."""
+        self.folder.state.apply(entry)
+        if (
+            self.failing or self.closed
+        ):  # the entry is in the state, which is written when the disk works again
+            if self.rewriting:
+                self.pending_entries.append(entry)  # the snapshot being written doesn't contain it
+            if on_durable is not None:
+                self.loop.call_soon(on_durable, False)
             return
-        self.rows.append(entry)
-        if then is not None:
-            self.thens.append(then)
+        self.pending_entries.append(entry)
+        if on_durable is not None:
+            self.pending_callbacks.append(on_durable)
         if not self.writing:
             self.writing = True
             self.loop.call_soon(self.commit)
 
     def commit(self) -> None:
+        """Write the pending entries in the thread, with a snapshot if the log has become large."""
         if self.closed:
-            return  # `close` has written what was left
-        rows, self.rows = self.rows, []
-        thens, self.thens = self.thens, []
-        large = self.files.size > LARGE
-        whole = form.snapshot(self.files.state.rows()) if large else None
-        self.run(lambda done: self.written(done, rows, thens), self.write, rows, whole)
-
-    def run(self, done: Callable, what: Callable, *facts) -> None:
-        """Call `what` in the thread, then `done` on the loop."""
-        self.under_way = self.thread.submit(what, *facts)
-        asyncio.wrap_future(self.under_way, loop=self.loop).add_done_callback(done)
-
-    def write(self, rows: list[Entry], whole: bytes | None) -> None:
-        self.files.append(rows)
-        if whole is not None:
-            # the snapshot was made with these rows in it, on the loop, where the state is whole
-            self.files.begin(self.files.generation + 1, whole)
-
-    def written(self, done, rows: list[Entry], thens: list) -> None:
+            return  # `close` has written the pending entries
+        entries, self.pending_entries = self.pending_entries, []
+        callbacks, self.pending_callbacks = self.pending_callbacks, []
+        is_large = self.folder.log_bytes > MAX_LOG_BYTES
+        snapshot = form.encode_snapshot(self.folder.state.entries()) if is_large else None
+        self.run_in_thread(
+            lambda done: self.commit_done(done, entries, callbacks), self.write, entries, snapshot
+        )
+
+    def run_in_thread(self, on_done: Callable, function: Callable, *arguments) -> None:
+        """Call `function` in the thread, then `on_done` with its future on the loop."""
+        self.last_call = self.executor.submit(function, *arguments)
+        asyncio.wrap_future(self.last_call, loop=self.loop).add_done_callback(on_done)
+
+    def write(self, entries: list[Entry], snapshot: bytes | None) -> None:
+        """Append entries and start a new generation if there is a snapshot. Runs in the thread."""
+        self.folder.append(entries)
+        if snapshot is not None:
+            # The snapshot was encoded on the loop, where the state is consistent, and includes these entries.
+            self.folder.start_generation(self.folder.generation + 1, snapshot)
+
+    def commit_done(self, done, entries: list[Entry], callbacks: list) -> None:
+        """Call the callbacks of a commit; commit what was added meanwhile, or retry later after a failure."""
         err = done.exception()
-        self.commits, self.entries = self.commits + 1, self.entries + len(rows)
+        self.commits, self.entries_written = self.commits + 1, self.entries_written + len(entries)
         if err is not None:
-            # Danger: a full disk. What is not surely kept is said so; the state is written anew, whole,
-            # later.
+            # The disk may be full. The waiting callers are told that nothing is durable, and the whole state
+            # is written later.
             self.failing, self.writing = True, False
-            self.log.error("the state can't be kept", why=describe(err))
-            thens += self.thens
-            self.thens, self.rows = [], []
-            self.timers.after(AGAIN, self.again)
-        elif self.rows:
+            self.log.error("cannot write the state", why=describe(err))
+            callbacks += self.pending_callbacks
+            self.pending_callbacks, self.pending_entries = [], []
+            self.timers.after(DISK_RETRY_DELAY_S, self.retry)
+        elif self.pending_entries:
             self.commit()
         else:
             self.writing = False
-        for then in thens:
-            then(err is None)
+        for callback in callbacks:
+            callback(err is None)
 
-    def again(self) -> None:
-        """Begin a new generation with the whole state: what failed is in it."""
+    def retry(self) -> None:
+        """Start a new generation with the whole state, which includes the entries whose write failed."""
         if not self.closed:
-            self.mending = True
-            self.run(
-                self.begun,
-                self.files.begin,
-                self.files.generation + 1,
-                form.snapshot(self.files.state.rows()),
+            self.rewriting = True
+            self.run_in_thread(
+                self.retry_done,
+                self.folder.start_generation,
+                self.folder.generation + 1,
+                form.encode_snapshot(self.folder.state.entries()),
             )
 
-    def begun(self, done) -> None:
-        err, self.mending = done.exception(), False
+    def retry_done(self, done) -> None:
+        """Resume commits if the new generation was written; otherwise retry again."""
+        err, self.rewriting = done.exception(), False
         if err is not None:
-            self.rows = []
-            self.log.warning("the state still can't be kept", why=describe(err))
-            self.timers.after(AGAIN, self.again)
+            self.pending_entries = []
+            self.log.warning("still cannot write the state", why=describe(err))
+            self.timers.after(DISK_RETRY_DELAY_S, self.retry)
             return
         self.failing = False
-        self.log.info("the state is kept again", generation=self.files.generation)
-        if self.rows:
+        self.log.info("state is written again", generation=self.folder.generation)
+        if self.pending_entries:
             self.writing = True
             self.commit()
 
     def close(self) -> None:
-        """Write what is left, give the folder up; whoever waits for what is left is told."""
+        """Write the pending entries, release the folder, and call the pending callbacks with the result."""
         self.closed = True
-        self.thread.shutdown(wait=True)
-        # Danger: a write that failed while the loop waited here has not been heard of by `written` yet, and
-        # what stands after a torn entry is never read.
-        sure = not self.failing or self.mending
-        sure = sure and (self.under_way is None or self.under_way.exception() is None)
-        if self.rows and sure:
+        self.executor.shutdown(wait=True)
+        # A write that failed while the loop waited here has not reached `commit_done` yet. Entries appended
+        # after a truncated one would never be read.
+        durable = not self.failing or self.rewriting
+        durable = durable and (self.last_call is None or self.last_call.exception() is None)
+        if self.pending_entries and durable:
             try:
-                self.files.append(self.rows)
+                self.folder.append(self.pending_entries)
             except OSError as err:
-                sure = False
-                self.log.error("the last entries are not kept", why=describe(err))
-        thens, self.rows, self.thens = self.thens, [], []
-        for then in thens:
-            self.loop.call_soon(then, sure)
-        self.files.close()
+                durable = False
+                self.log.error("cannot write the last entries of the state", why=describe(err))
+        callbacks, self.pending_entries, self.pending_callbacks = self.pending_callbacks, [], []
+        for callback in callbacks:
+            self.loop.call_soon(callback, durable)
+        self.folder.close()
 
 
-class Memory:
-    """A store without a folder, for the window of a front that hands over: nothing outlives a crash."""
+class MemoryStore:
+    """A store without a folder. Its state can be handed over to a successor, but is lost in a crash."""
 
     failing = False
 
     def __init__(self, state: State, loop) -> None:
         self.state, self.loop = state, loop
 
-    def add(self, entry: Entry, then: Callable[[bool], None] | None = None) -> None:
+    def add(self, entry: Entry, on_durable: Callable[[bool], None] | None = None) -> None:
+        """Apply an entry to the state and report it as durable."""
         self.state.apply(entry)
-        if then is not None:
-            self.loop.call_soon(then, True)
+        if on_durable is not None:
+            self.loop.call_soon(on_durable, True)
 
     def close(self) -> None: ...
--- a/tests/daemon/test_handover.py
+++ b/tests/daemon/test_handover.py
@@ -180,7 +180,7 @@
         )
         message, _ = await place.ask(viewer="w", product="paid", title="clip-01")
         assert message.status == 200 and len(front.driver.plays) == 2
-        assert len(front.driver.play_store.state.out) == 2
+        assert len(front.driver.play_store.state.allocations) == 2
         assert (await place.segment(plan, 2)).status == 200
         again = await Exchange(place).begin().served()  # and a better successor takes over
         await again.end()
@@ -230,12 +230,12 @@
 async def test_a_restart_with_the_budget_spent_brings_no_new_budget(tmp_path):
     async with deployment(tmp_path, nodes=3) as place:
         old = place.fronts[0]
-        old.driver.play_store.state.further.extend([old.driver.play_store.state.latest or 1] * 3)
+        old.driver.play_store.state.reallocations.extend([old.driver.play_store.state.latest or 1] * 3)
         from curlewhall.recovery.run import unix_ms
-        from curlewhall.recovery.state import Further
+        from curlewhall.recovery.state import Reallocated
 
         for _ in range(3):
-            old.driver.play_store.store.add(Further(unix_ms()))
+            old.driver.play_store.store.add(Reallocated(unix_ms()))
         exchange = await Exchange(place).begin().served()
         assert not exchange.new.driver.play_store.may_reallocate()
         await exchange.end()
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -1,4 +1,4 @@
-"""Bytes, files and beliefs after a crash: damage of every kind has a stated outcome."""
+"""Log and snapshot encoding, the state folder, the store, and what follows from the state after a crash."""
 
 import asyncio
 import contextlib
@@ -17,17 +17,29 @@
 
 from curlewhall import logs
 from curlewhall.recovery import form
-from curlewhall.recovery.decide import LONGEST_DOUBT, Doubts, Window, ran_for
+from curlewhall.recovery.decide import (
+    MAX_UNCERTAINTY_MS,
+    ReallocationBudget,
+    UncertainAllocations,
+    min_uptime_ms,
+)
 from curlewhall.recovery.run import PlayStore
-from curlewhall.recovery.state import Further, Out, Over, Playing, State, Took
-from curlewhall.recovery.store import Disk, Files, Store, StoreLockedError
+from curlewhall.recovery.state import (
+    AllocationSent,
+    PlayEnded,
+    PlayStarted,
+    Reallocated,
+    RequestsAccepted,
+    State,
+)
+from curlewhall.recovery.store import Disk, StateFolder, Store, StoreLockedError
 from curlewhall.wire.timers import Timers
 
-NAMES = st.sampled_from([f"p{i}" for i in range(6)])
-ENTRIES = st.one_of(
+PLAYS = st.sampled_from([f"p{i}" for i in range(6)])
+ANY_ENTRY = st.one_of(
     st.builds(
-        Out,
-        NAMES,
+        AllocationSent,
+        PLAYS,
         st.integers(0, 3),
         st.sampled_from(["n1", "n2"]),
         st.just("v"),
@@ -36,95 +48,100 @@
         st.booleans(),
         st.integers(0, 99),
     ),
-    st.builds(Playing, NAMES, st.integers(0, 3)),
-    st.builds(Over, NAMES),
-    st.builds(Took, st.integers(0, 99), st.integers(1, 9)),
-    st.builds(Further, st.integers(0, 99)),
+    st.builds(PlayStarted, PLAYS, st.integers(0, 3)),
+    st.builds(PlayEnded, PLAYS),
+    st.builds(RequestsAccepted, st.integers(0, 99), st.integers(1, 9)),
+    st.builds(Reallocated, st.integers(0, 99)),
 )
-SOME = [
-    Out("p1", 0, "n1", "v", "t", "paid", True, 5),
-    Playing("p1", 0),
-    Took(7, 2),
-    Further(8),
-    Out("p2", 1, "n2", "w", "t", "plain", False, 9),
-    Over("p1"),
+SAMPLE = [
+    AllocationSent("p1", 0, "n1", "v", "t", "paid", True, 5),
+    PlayStarted("p1", 0),
+    RequestsAccepted(7, 2),
+    Reallocated(8),
+    AllocationSent("p2", 1, "n2", "w", "t", "plain", False, 9),
+    PlayEnded("p1"),
 ]
-LOG = form.head(form.LOG) + b"".join(map(form.frame, SOME))
+LOG = form.file_header(form.LOG_KIND) + b"".join(map(form.encode_entry, SAMPLE))
 
 
-def added(rows, window=50):
-    state = State(window)
-    for row in rows:
-        state.apply(row)
+def state_of(entries, window_ms=50):
+    state = State(window_ms)
+    for entry in entries:
+        state.apply(entry)
     return state
 
 
 def same(one, other):
-    return one.rows() == other.rows()
+    return one.entries() == other.entries()
 
 
-def test_every_cut_leaves_the_whole_entries_before_it():
-    for end in range(form.HEAD.size, len(LOG)):
-        rows, ended = form.entries(LOG[:end])
-        assert rows == SOME[: len(rows)] and (
-            ended == "torn" or LOG[:end] == form.head(form.LOG) + b"".join(map(form.frame, SOME[: len(rows)]))
+def test_truncated_log_yields_the_complete_entries_before_the_end():
+    for end in range(form.FILE_HEADER.size, len(LOG)):
+        entries, damage = form.decode_log(LOG[:end])
+        assert entries == SAMPLE[: len(entries)] and (
+            damage == "truncated"
+            or LOG[:end]
+            == form.file_header(form.LOG_KIND) + b"".join(map(form.encode_entry, SAMPLE[: len(entries)]))
         )
-    assert form.entries(LOG) == (SOME, "")
+    assert form.decode_log(LOG) == (SAMPLE, "")
 
 
-def test_every_flipped_bit_is_seen():
-    for at in range(form.HEAD.size * 8, len(LOG) * 8):
+def test_every_flipped_bit_is_detected():
+    for at in range(form.FILE_HEADER.size * 8, len(LOG) * 8):
         data = bytearray(LOG)
         data[at // 8] ^= 1 << at % 8
-        rows, ended = form.entries(bytes(data))
-        assert ended in ("torn", "damaged") and rows == SOME[: len(rows)]
+        entries, damage = form.decode_log(bytes(data))
+        assert damage in ("truncated", "corrupt") and entries == SAMPLE[: len(entries)]
 
 
 @given(st.binary(max_size=300))
-def test_no_bytes_do_more_than_end_the_reading(data):
-    for reader, kind in ((form.entries, form.LOG), (form.read_snapshot, form.SNAPSHOT)):
-        for text in (data, form.head(kind) + data):
+def test_arbitrary_bytes_raise_only_the_documented_errors(data):
+    for decode, kind in ((form.decode_log, form.LOG_KIND), (form.decode_snapshot, form.SNAPSHOT_KIND)):
+        for content in (data, form.file_header(kind) + data):
             with contextlib.suppress(form.CorruptDataError, form.NewerFormatError):
-                reader(text)
+                decode(content)
 
 
-@given(st.lists(ENTRIES, max_size=30))
-def test_a_state_is_the_same_through_its_own_rows_and_through_a_snapshot(rows):
-    state = added(rows)
-    assert same(added(state.rows()), state)
-    assert same(added(form.read_snapshot(form.snapshot(state.rows()))), state)
+@given(st.lists(ANY_ENTRY, max_size=30))
+def test_state_is_rebuilt_from_its_entries_and_from_a_snapshot(entries):
+    state = state_of(entries)
+    assert same(state_of(state.entries()), state)
+    assert same(state_of(form.decode_snapshot(form.encode_snapshot(state.entries()))), state)
 
 
 class SimulatedCrashError(Exception):
-    """The process is gone in the middle of a write."""
+    """The process dies during a write."""
 
 
-class Memory(Disk):
-    """A disk in memory. `fuse`: after so many writes it fails, with a part of the last one done."""
+class MemoryDisk(Disk):
+    """A disk in memory that can fail: after `writes_left` writes, the next one is done in part and raises."""
 
     def __init__(self):
-        self.files, self.fuse, self.error, self.rng = {}, None, SimulatedCrashError, random.Random(1)
-
-    def burn(self):
-        if self.fuse is not None:
-            self.fuse -= 1
-            return self.fuse < 0
+        self.files = {}
+        self.writes_left = None  # None: no failure
+        self.error = SimulatedCrashError
+        self.rng = random.Random(1)
+
+    def fails(self):
+        if self.writes_left is not None:
+            self.writes_left -= 1
+            return self.writes_left < 0
         return False
 
     def write(self, path, data):
-        if self.burn():
+        if self.fails():
             self.files[path] = data[: self.rng.randrange(len(data))]
             raise self.error
         self.files[path] = data
 
     def append(self, path, data):
-        if self.burn():
+        if self.fails():
             self.files[path] += data[: self.rng.randrange(len(data) + 1)]
             raise self.error
         self.files[path] += data
 
     def replace(self, old, new):
-        if self.burn():
+        if self.fails():
             raise self.error
         self.files[new] = self.files.pop(old)
 
@@ -132,7 +149,7 @@
         return self.files[path]
 
     def remove(self, path):
-        if self.burn():
+        if self.fails():
             raise self.error
         self.files.pop(path, None)
 
@@ -140,62 +157,70 @@
         return sorted(path.name for path in self.files)
 
 
-def opened(folder, disk=None, told=None):
-    files = Files(folder, 50, disk, tell=lambda what, **facts: told is not None and told.append(what))
-    files.open()
-    return files
+def open_folder(path, disk=None, warnings=None):
+    folder = StateFolder(
+        path, 50, disk, warn=lambda what, **facts: warnings is not None and warnings.append(what)
+    )
+    folder.open()
+    return folder
 
 
 class AnyCrash(RuleBasedStateMachine):
-    """Entries, rotations and crashes at any write: what was acknowledged is there, and nothing that was
-    not said.
+    """Appends, new generations and crashes at any write.
+
+    After each crash, the recovered state contains all acknowledged entries and none that were never appended.
     """
 
     @initialize()
-    def begin(self):
-        self.folder, self.disk = tempfile.mkdtemp(), Memory()
-        self.files, self.sure = opened(self.folder, self.disk), []
+    def create_folder(self):
+        self.path, self.disk = tempfile.mkdtemp(), MemoryDisk()
+        self.folder, self.durable = open_folder(self.path, self.disk), []
 
-    @rule(rows=st.lists(ENTRIES, min_size=1, max_size=5), fuse=st.one_of(st.none(), st.integers(0, 1)))
-    def append(self, rows, fuse):
-        self.disk.fuse = fuse
+    @rule(
+        entries=st.lists(ANY_ENTRY, min_size=1, max_size=5),
+        writes_left=st.one_of(st.none(), st.integers(0, 1)),
+    )
+    def append(self, entries, writes_left):
+        self.disk.writes_left = writes_left
         try:
-            self.files.append(rows)
+            self.folder.append(entries)
         except SimulatedCrashError:
-            self.again(rows)
+            self.restart(entries)
         else:
-            self.disk.fuse = None
-            for row in rows:
-                self.files.state.apply(row)
-            self.sure += rows
-
-    @rule(fuse=st.one_of(st.none(), st.integers(0, 5)))
-    def rotate(self, fuse):
-        self.disk.fuse = fuse
+            self.disk.writes_left = None
+            for entry in entries:
+                self.folder.state.apply(entry)
+            self.durable += entries
+
+    @rule(writes_left=st.one_of(st.none(), st.integers(0, 5)))
+    def start_generation(self, writes_left):
+        self.disk.writes_left = writes_left
         try:
-            self.files.begin(self.files.generation + 1)
+            self.folder.start_generation(self.folder.generation + 1)
         except SimulatedCrashError:
-            self.again([])
-        self.disk.fuse = None
+            self.restart([])
+        self.disk.writes_left = None
 
-    @rule(fuse=st.integers(0, 5))
-    def crash_while_recovering(self, fuse):
-        self.files.close()
-        self.disk.fuse = fuse
+    @rule(writes_left=st.integers(0, 5))
+    def crash_while_recovering(self, writes_left):
+        self.folder.close()
+        self.disk.writes_left = writes_left
         with contextlib.suppress(SimulatedCrashError):
-            opened(self.folder, self.disk).close()
-        self.again([])
-
-    def again(self, unsure):
-        self.files.close()
-        self.disk.fuse = None
-        self.files = opened(self.folder, self.disk)
-        may = [added(self.sure + unsure[:count]) for count in range(len(unsure) + 1)]
-        assert any(same(self.files.state, state) for state in may)
-        self.sure = self.files.state.rows()
+            open_folder(self.path, self.disk).close()
+        self.restart([])
+
+    def restart(self, unacknowledged):
+        self.folder.close()
+        self.disk.writes_left = None
+        self.folder = open_folder(self.path, self.disk)
+        possible = [
+            state_of(self.durable + unacknowledged[:count]) for count in range(len(unacknowledged) + 1)
+        ]
+        assert any(same(self.folder.state, state) for state in possible)
+        self.durable = self.folder.state.entries()
 
     def teardown(self):
-        self.files.close()
+        self.folder.close()
 
 
 AnyCrash.TestCase.settings = settings(
@@ -204,229 +229,235 @@
 TestAnyCrash = AnyCrash.TestCase
 
 
-def test_a_damaged_snapshot_is_made_good_by_the_generation_before(tmp_path):
-    disk, told = Memory(), []
-    files = opened(tmp_path, disk)
-    files.append(SOME[:3])
-    for row in SOME[:3]:
-        files.state.apply(row)
-    files.begin(files.generation + 1)
-    files.append(SOME[3:])
-    newest = files.name("snapshot", files.generation)
-    files.close()
+def test_damaged_snapshot_is_replaced_by_the_previous_generation(tmp_path):
+    disk, warnings = MemoryDisk(), []
+    folder = open_folder(tmp_path, disk)
+    folder.append(SAMPLE[:3])
+    for entry in SAMPLE[:3]:
+        folder.state.apply(entry)
+    folder.start_generation(folder.generation + 1)
+    folder.append(SAMPLE[3:])
+    newest = folder.path("snapshot", folder.generation)
+    folder.close()
     disk.files[newest] = disk.files[newest][:-1]
-    again = opened(tmp_path, disk, told)
-    assert same(again.state, added(SOME)) and told == ["a snapshot can't be read"]
-    again.close()
+    reopened = open_folder(tmp_path, disk, warnings)
+    assert same(reopened.state, state_of(SAMPLE)) and warnings == ["cannot read a snapshot"]
+    reopened.close()
 
 
-def test_a_folder_has_one_owner_and_files_of_a_later_version_are_left_alone(tmp_path):
-    files = opened(tmp_path)
+def test_folder_is_locked_and_files_of_a_later_version_are_not_modified(tmp_path):
+    folder = open_folder(tmp_path)
     with pytest.raises(StoreLockedError):
-        opened(tmp_path)
-    files.close()
+        open_folder(tmp_path)
+    folder.close()
     path = tmp_path / "log-00000009"
     later = b"CWLH\x09\x01\x00\x00whatever"
     path.write_bytes(later)
     with pytest.raises(form.NewerFormatError, match="version 9"):
-        opened(tmp_path)
+        open_folder(tmp_path)
     assert path.read_bytes() == later
 
 
-def test_old_generations_go_and_the_folder_stays_small(tmp_path):
-    files = opened(tmp_path)
+def test_only_two_generations_are_kept(tmp_path):
+    folder = open_folder(tmp_path)
     for _ in range(5):
-        files.append(SOME)
-        files.begin(files.generation + 1)
-    files.close()
-    assert len([name for name in files.disk.names(tmp_path) if "-" in name]) == 4
+        folder.append(SAMPLE)
+        folder.start_generation(folder.generation + 1)
+    folder.close()
+    assert len([name for name in folder.disk.names(tmp_path) if "-" in name]) == 4
 
 
 @looped
-async def test_entries_of_a_turn_go_to_disk_together_and_a_full_disk_is_said_and_got_over(tmp_path):
+async def test_entries_of_a_turn_share_a_commit_and_a_full_disk_is_reported_and_recovered_from(tmp_path):
     loop = asyncio.get_running_loop()
-    disk = Memory()
-    store = Store(opened(tmp_path, disk), loop, Timers(loop), logs.make("json", "critical"))
-    sure = asyncio.Queue()
-    for row in SOME:
-        store.add(row, sure.put_nowait)
-    assert [await sure.get() for _ in SOME] == [True] * len(SOME) and store.commits == 1
-    disk.fuse, disk.error = 0, OSError(errno.ENOSPC, "No space left on device")
-    store.add(Further(10), sure.put_nowait)
-    assert await sure.get() is False
-    store.add(Further(11), sure.put_nowait)
-    assert await sure.get() is False
-    disk.fuse = None
+    disk = MemoryDisk()
+    store = Store(open_folder(tmp_path, disk), loop, Timers(loop), logs.make("json", "critical"))
+    results = asyncio.Queue()
+    for entry in SAMPLE:
+        store.add(entry, results.put_nowait)
+    assert [await results.get() for _ in SAMPLE] == [True] * len(SAMPLE) and store.commits == 1
+    disk.writes_left, disk.error = 0, OSError(errno.ENOSPC, "No space left on device")
+    store.add(Reallocated(10), results.put_nowait)
+    assert await results.get() is False
+    store.add(Reallocated(11), results.put_nowait)
+    assert await results.get() is False
+    disk.writes_left = None
     while store.failing:
         await asyncio.sleep(0.01)
-    store.add(Further(12), sure.put_nowait)
-    assert await sure.get() is True
+    store.add(Reallocated(12), results.put_nowait)
+    assert await results.get() is True
     store.close()
-    again = opened(tmp_path, disk)
-    assert same(again.state, added([*SOME, Further(10), Further(11), Further(12)]))
-    again.close()
+    reopened = open_folder(tmp_path, disk)
+    assert same(reopened.state, state_of([*SAMPLE, Reallocated(10), Reallocated(11), Reallocated(12)]))
+    reopened.close()
 
 
-class Slow(Memory):
-    """A disk whose every call can be held up, and that knows who called."""
+class BlockingDisk(MemoryDisk):
+    """A disk whose writes can be blocked, and that records the threads that called it."""
 
     def __init__(self):
         super().__init__()
-        self.open, self.callers, self.held = threading.Event(), set(), threading.Event()
-        self.open.set()
+        self.unblocked, self.callers, self.entered = threading.Event(), set(), threading.Event()
+        self.unblocked.set()
 
-    def burn(self, *facts):
+    def fails(self, *facts):
         self.callers.add(threading.get_ident())
-        self.held.set()
-        assert self.open.wait(20)
-        return super().burn(*facts)
+        self.entered.set()
+        assert self.unblocked.wait(20)
+        return super().fails(*facts)
 
 
 @contextlib.asynccontextmanager
-async def slow_store(tmp_path):
-    loop, disk = asyncio.get_running_loop(), Slow()
-    store = Store(opened(tmp_path, disk), loop, Timers(loop), logs.make("json", "critical"))
-    store.told = asyncio.Queue()
+async def store_on_blocking_disk(tmp_path):
+    loop, disk = asyncio.get_running_loop(), BlockingDisk()
+    store = Store(open_folder(tmp_path, disk), loop, Timers(loop), logs.make("json", "critical"))
+    store.results = asyncio.Queue()
     disk.callers.clear()
     try:
         yield store, disk
     finally:
-        disk.open.set()
-        disk.fuse = None
+        disk.unblocked.set()
+        disk.writes_left = None
         store.close()
 
 
-async def failed(store, disk):
-    disk.fuse, disk.error = 0, OSError(errno.ENOSPC, "No space left on device")
-    store.add(Further(10), store.told.put_nowait)
-    assert await store.told.get() is False and store.failing
+async def fail_a_write(store, disk):
+    disk.writes_left, disk.error = 0, OSError(errno.ENOSPC, "No space left on device")
+    store.add(Reallocated(10), store.results.put_nowait)
+    assert await store.results.get() is False and store.failing
 
 
 @looped
-async def test_a_disk_that_is_slow_in_coming_back_stops_no_answer_and_loses_no_entry(tmp_path):
-    async with slow_store(tmp_path) as (store, disk):
-        await failed(store, disk)
-        disk.open.clear()
-        disk.held.clear()
-        disk.fuse = None
-        while not disk.held.is_set():
+async def test_slow_retry_after_a_failed_write_delays_no_caller_and_loses_no_entry(tmp_path):
+    async with store_on_blocking_disk(tmp_path) as (store, disk):
+        await fail_a_write(store, disk)
+        disk.unblocked.clear()
+        disk.entered.clear()
+        disk.writes_left = None
+        while not disk.entered.is_set():
             await asyncio.sleep(0.005)
-        store.add(Further(11), store.told.put_nowait)  # after the state that is being written was taken
-        assert await store.told.get() is False  # nothing waits for a disk that is not known to be back
-        disk.open.set()
+        store.add(Reallocated(11), store.results.put_nowait)  # not in the snapshot that is being written
+        assert await store.results.get() is False  # callers don't wait while the disk may still fail
+        disk.unblocked.set()
         while store.failing:
             await asyncio.sleep(0.005)
-        store.add(Further(12), store.told.put_nowait)
-        assert await store.told.get() is True
+        store.add(Reallocated(12), store.results.put_nowait)
+        assert await store.results.get() is True
         assert threading.get_ident() not in disk.callers
-    again = opened(tmp_path, disk)
-    assert same(again.state, added([Further(10), Further(11), Further(12)]))
-    again.close()
+    reopened = open_folder(tmp_path, disk)
+    assert same(reopened.state, state_of([Reallocated(10), Reallocated(11), Reallocated(12)]))
+    reopened.close()
 
 
 @looped
-async def test_a_store_closed_over_a_write_that_fails_calls_nothing_kept(tmp_path):
-    async with slow_store(tmp_path) as (store, disk):
-        disk.open.clear()
-        store.add(Further(10), store.told.put_nowait)
-        while not disk.held.is_set():
+async def test_store_closed_during_a_failing_write_reports_nothing_as_durable(tmp_path):
+    async with store_on_blocking_disk(tmp_path) as (store, disk):
+        disk.unblocked.clear()
+        store.add(Reallocated(10), store.results.put_nowait)
+        while not disk.entered.is_set():
             await asyncio.sleep(0.005)
-        store.add(Further(11), store.told.put_nowait)  # waits for the write under way
-        disk.fuse, disk.error = 0, OSError(errno.EIO, "Input/output error")
+        store.add(Reallocated(11), store.results.put_nowait)  # waits for the write in progress
+        disk.writes_left, disk.error = 0, OSError(errno.EIO, "Input/output error")
         asyncio.get_running_loop().run_in_executor(
-            None, lambda: (select.select([], [], [], 0.05), disk.open.set())
+            None, lambda: (select.select([], [], [], 0.05), disk.unblocked.set())
         )
         store.close()
-        disk.fuse = None
-        store.add(Further(12), store.told.put_nowait)
-        assert [await store.told.get() for _ in range(3)] == [False] * 3
+        disk.writes_left = None
+        store.add(Reallocated(12), store.results.put_nowait)
+        assert [await store.results.get() for _ in range(3)] == [False] * 3
 
 
-def test_a_wall_clock_set_back_while_a_front_runs_prolongs_no_doubt(monkeypatch):
-    wall, steady = [NOW], [5_000]
+def test_wall_clock_set_back_while_running_extends_no_uncertainty(monkeypatch):
+    wall, monotonic = [NOW], [5_000]
     monkeypatch.setattr(time, "time_ns", lambda: wall[0] * 1_000_000)
-    monkeypatch.setattr(time, "monotonic_ns", lambda: steady[0] * 1_000_000)
+    monkeypatch.setattr(time, "monotonic_ns", lambda: monotonic[0] * 1_000_000)
     state = State(10_000)
-    state.apply(Out("p", 0, "n", "v", "t", "paid", True, NOW))
+    state.apply(AllocationSent("p", 0, "n", "v", "t", "paid", True, NOW))
     for _ in range(9):
-        state.apply(Further(NOW))
+        state.apply(Reallocated(NOW))
     start_settings = {
         "rules.look_back": 100_000,
         "rules.spare_allocations": 3,
         "rules.extra_per_request": 0.1,
     }
-    play_store = PlayStore(type("Kept", (), {"add": lambda *facts: None}), True, start_settings, state)
+    play_store = PlayStore(type("StoreStub", (), {"add": lambda *facts: None}), True, start_settings, state)
     assert play_store.is_uncertain("v", "t", "paid") and not play_store.may_reallocate()
     wall[0] -= 3_600_000
     assert play_store.is_uncertain("v", "t", "paid") and not play_store.may_reallocate()
-    steady[0] += LONGEST_DOUBT
+    monotonic[0] += MAX_UNCERTAINTY_MS
     assert not play_store.is_uncertain("v", "t", "paid") and play_store.may_reallocate()
 
 
-def test_after_a_clock_set_back_across_a_restart_the_next_window_keeps_what_is_new(tmp_path):
+def test_clock_set_back_across_a_restart_does_not_expire_new_entries(tmp_path):
     later, wall = NOW + 3_600_000, [NOW + 3_600_000]
-    make = lambda: Files(tmp_path, 10_000, now=lambda: wall[0])  # noqa: E731
-    files = make()
-    files.open()
-    rows = [Out("p", 0, "n", "v", "t", "paid", True, later), Took(later, 2), Further(later)]
-    files.append(rows)
-    files.close()
-    for wall[0] in (NOW, NOW + 5000):  # an hour back; then a second crash
-        files = make()
-        state = files.open()
-        assert state.out["p"].at == NOW and state.further[0] == NOW
-        new = [Further(wall[0]), Took(wall[0], 1)]
-        files.append(new)
-        files.close()
+    make = lambda: StateFolder(tmp_path, 10_000, now=lambda: wall[0])  # noqa: E731
+    folder = make()
+    folder.open()
+    entries = [
+        AllocationSent("p", 0, "n", "v", "t", "paid", True, later),
+        RequestsAccepted(later, 2),
+        Reallocated(later),
+    ]
+    folder.append(entries)
+    folder.close()
+    for wall[0] in (NOW, NOW + 5000):  # set back by an hour, then a second crash
+        folder = make()
+        state = folder.open()
+        assert state.allocations["p"].at == NOW and state.reallocations[0] == NOW
+        added = [Reallocated(wall[0]), RequestsAccepted(wall[0], 1)]
+        folder.append(added)
+        folder.close()
     state = make().open()
-    assert list(state.further) == [NOW, NOW, NOW + 5000] and sum(row.count for row in state.took) == 4
+    assert (
+        list(state.reallocations) == [NOW, NOW, NOW + 5000] and sum(row.count for row in state.accepted) == 4
+    )
 
 
 NOW = 1_000_000
 
 
 @pytest.mark.parametrize(
-    ("entry", "ask", "after", "doubtful"),
+    ("fields", "set_up", "elapsed", "uncertain"),
     [
         (dict(), ("v", "t", "paid"), 0, True),
         (dict(), ("w", "t", "paid"), 0, False),
         (dict(), ("v", "u", "paid"), 0, False),
         (dict(paid=False), ("v", "t", "paid"), 0, False),
-        (dict(), ("v", "t", "paid"), LONGEST_DOUBT, False),
+        (dict(), ("v", "t", "paid"), MAX_UNCERTAINTY_MS, False),
         (dict(at=NOW + 9_999_999), ("v", "t", "paid"), 0, True),
-        (dict(at=NOW - LONGEST_DOUBT * 20), ("v", "t", "paid"), 0, False),
+        (dict(at=NOW - MAX_UNCERTAINTY_MS * 20), ("v", "t", "paid"), 0, False),
     ],
 )
-def test_a_paid_set_up_whose_node_has_not_spoken_is_doubted(entry, ask, after, doubtful):
-    facts = (
-        dict(play="p", number=0, node="n", viewer="v", title="t", product="paid", paid=True, at=NOW) | entry
+def test_paid_set_up_is_uncertain_until_its_node_reports(fields, set_up, elapsed, uncertain):
+    fields = (
+        dict(play="p", number=0, node="n", viewer="v", title="t", product="paid", paid=True, at=NOW) | fields
     )
     state = State(50)
-    state.out["p"] = Out(**facts)
-    doubts = Doubts(state, NOW)
-    assert doubts.doubtful(NOW + after, *ask) is doubtful
-    doubts.cleared("n")
-    assert not doubts.doubtful(NOW, *ask)
+    state.allocations["p"] = AllocationSent(**fields)
+    allocations = UncertainAllocations(state, NOW)
+    assert allocations.is_uncertain(NOW + elapsed, *set_up) is uncertain
+    allocations.clear_node("n")
+    assert not allocations.is_uncertain(NOW, *set_up)
 
 
 @pytest.mark.parametrize(
-    ("rows", "number", "expected"),
+    ("entries", "number", "expected"),
     [
-        ([Playing("p", 0)], 0, 400),
-        ([Playing("p", 0)], 1, 0),
+        ([PlayStarted("p", 0)], 0, 400),
+        ([PlayStarted("p", 0)], 1, 0),
         ([], 0, 0),
-        ([Playing("p", 0), Over("p")], 0, 0),
+        ([PlayStarted("p", 0), PlayEnded("p")], 0, 0),
     ],
 )
-def test_a_node_that_shows_a_play_ran_when_it_was_set_up(rows, number, expected):
-    state = added([Out("p", 0, "n", "v", "t", "paid", True, NOW - 400), *rows])
-    assert ran_for(state, NOW, "p", number, 1000) == expected
-    assert ran_for(state, NOW - 500, "p", number, 1000) == 0  # a clock set back
-    assert ran_for(state, NOW + 9000, "p", number, 1000) == (1000 if expected else 0)
+def test_node_that_holds_a_play_has_run_since_its_set_up(entries, number, expected):
+    state = state_of([AllocationSent("p", 0, "n", "v", "t", "paid", True, NOW - 400), *entries])
+    assert min_uptime_ms(state, NOW, "p", number, 1000) == expected
+    assert min_uptime_ms(state, NOW - 500, "p", number, 1000) == 0  # clock set back
+    assert min_uptime_ms(state, NOW + 9000, "p", number, 1000) == (1000 if expected else 0)
 
 
 @pytest.mark.parametrize(
-    ("took", "further", "uncounted", "later", "may"),
+    ("accepted", "reallocations", "unrecorded", "elapsed", "allowed"),
     [
         (0, 0, 0, 0, True),
         (0, 3, 0, 0, False),
@@ -436,10 +467,13 @@
         (0, 9, 0, 10_000, True),
     ],
 )
-def test_the_budget_holds_over_the_crash(took, further, uncounted, later, may):
+def test_reallocation_budget_spans_a_crash(accepted, reallocations, unrecorded, elapsed, allowed):
     state = State(10_000)
-    for _ in range(further):
-        state.apply(Further(NOW))
-    if took:
-        state.apply(Took(NOW, took))
-    assert Window(state, NOW, 10_000, 3, 0.1).may(NOW + later, uncounted) is may
+    for _ in range(reallocations):
+        state.apply(Reallocated(NOW))
+    if accepted:
+        state.apply(RequestsAccepted(NOW, accepted))
+    assert (
+        ReallocationBudget(state, NOW, 10_000, 3, 0.1).allows_reallocation(NOW + elapsed, unrecorded)
+        is allowed
+    )
