--- a/curlewhall/recovery/store.py
+++ b/curlewhall/recovery/store.py
@@ -107,7 +107,7 @@
         except OSError:
             os.close(self.lock)
             self.lock = None
-            raise StoreLockedError(f"{self.folder}: locked by another process") from None
+            raise StoreLockedError(f"{self.folder}: another process holds it") from None
         try:
             self.recover()
             self.state.clamp_future_times(self.now())
