--- a/curlewhall/front/driver.py
+++ b/curlewhall/front/driver.py
@@ -274,7 +274,7 @@
         """A play of an earlier process of this front, found at its node."""
         now = self.clock.now()
         active_play = ActivePlay(facts, title, None, now, now)
-        ran = 10 * self.play_store.played_ms(facts.play, facts.number)
+        ran = 10 * self.play_store.min_uptime_ms(facts.play, facts.number)
         self.log.info("resumed", play=facts.play, node=node, rung=facts.rung, ran_ms=ran / 10)
         self.register_existing_play(active_play, node, now - ran)
         self.adopt_play(active_play, node)
@@ -531,5 +531,5 @@
     def forget_if_over(self, active_play: ActivePlay) -> None:
         if active_play.answered and not active_play.pending and active_play.playing_number is None:
             self.plays.pop(active_play.info.play, None)
-            self.play_store.play_over(active_play.info.play)
+            self.play_store.play_ended(active_play.info.play)
             active_play.exchange = None
--- a/curlewhall/front/parting.py
+++ b/curlewhall/front/parting.py
@@ -67,7 +67,7 @@
             if reply.ending == "ok" and reply.message.status == 204:
                 self.given += 1
                 self.driver.plays.pop(facts.play, None)
-                self.driver.play_store.play_over(facts.play)
+                self.driver.play_store.play_ended(facts.play)
                 return
             if reply.ending not in ("ok", "unreached", "not_sent"):
                 return  # it may have been taken: offering it to another could make two of one
--- a/curlewhall/moves/run.py
+++ b/curlewhall/moves/run.py
@@ -30,13 +30,13 @@
 
     def play_started(self, active_play) -> None:
         """A play has started, whether it was requested, resumed or moved."""
-        facts, start_settings = active_play.info, self.driver.start_settings
-        index, terms = self.driver.viewers.products[facts.product]
+        info, start_settings = active_play.info, self.driver.start_settings
+        index, product = self.driver.viewers.products[info.product]
         # The module places a play only where the rung with the best worth for its rate has room, whichever
         # rung it then plays, so the mover needs room for that rung too.
         ladder, worth = start_settings["specifics.rung_kb"], start_settings["specifics.level_worth"]
         best_rung = max(range(len(ladder)), key=lambda rung: worth[rung] / ladder[rung])
-        needed_rung = max(active_play.rung, facts.floor, min(facts.top, best_rung))
+        needed_rung = max(active_play.rung, info.floor, min(info.top, best_rung))
         rate = ladder[needed_rung] * start_settings["specifics.class_scale"][index]
         places = tuple(
             (active_play.title.first_place + i) % max(1, start_settings["specifics.places"])
@@ -51,17 +51,17 @@
         if active_play.moved_from:
             self.driver.counts["moved"] += 1
             self.driver.log.info(
-                "play moved", play=active_play.moved_from, to=facts.play, node=active_play.node
+                "play moved", play=active_play.moved_from, to=info.play, node=active_play.node
             )
             self.execute(self.mover.move_succeeded(now, active_play.moved_from))
             active_play.moved_from = ""
         self.execute(
             self.mover.play_started(
                 now,
-                facts.play,
+                info.play,
                 active_play.node,
-                terms["importance"],
-                terms["idempotency"] != "pure",
+                product["importance"],
+                product["idempotency"] != "pure",
                 rate,
                 places,
                 ends_at,
@@ -142,7 +142,7 @@
 
     def has_room(self, play: str, active_play) -> bool:
         """Whether the module would place `active_play` after `play` has left its seat; no side effects."""
-        check, facts, title = (
+        check, info, title = (
             getattr(self.driver.module, "has_room", None),
             active_play.info,
             active_play.title,
@@ -150,13 +150,13 @@
         return check is None or check(  # modules for comparison lack the method
             self.driver.clock.now(),
             play,
-            facts.product,
-            facts.customer,
-            facts.viewer,
-            facts.title,
+            info.product,
+            info.customer,
+            info.viewer,
+            info.title,
             title.first_place,
             title.places,
-            facts.top,
+            info.top,
         )
 
     def execute_end(self, play: str) -> None:
@@ -197,13 +197,13 @@
         gone.
         """
         driver = self.driver
-        facts = driver.viewers.next_facts(previous.info)
+        info = driver.viewers.next_facts(previous.info)
         now = driver.clock.now()
-        terms = driver.viewers.products[facts.product][1]
+        product = driver.viewers.products[info.product][1]
         limit = (
-            previous.deadline if previous.moved_from else now + terms["time_limit"] - driver.viewers.margin
+            previous.deadline if previous.moved_from else now + product["time_limit"] - driver.viewers.margin
         )
-        active_play = type(previous)(facts, previous.title, None, limit, now)
+        active_play = type(previous)(info, previous.title, None, limit, now)
         active_play.moved_from = play
         driver.viewers.expect(play, active_play, previous)
         driver.accept_request(active_play, again=True, moved=True)
--- a/curlewhall/recovery/null_objects.py
+++ b/curlewhall/recovery/null_objects.py
@@ -16,7 +16,7 @@
 
     def allocation_playing(self, play: str, number: int) -> None: ...
 
-    def play_over(self, play: str) -> None: ...
+    def play_ended(self, play: str) -> None: ...
 
     def request_accepted(self) -> None: ...
 
@@ -28,7 +28,7 @@
     def awaits_node(self, node: str) -> bool:
         return False
 
-    def played_ms(self, play: str, number: int) -> int:
+    def min_uptime_ms(self, play: str, number: int) -> int:
         return 0
 
     def close(self) -> None: ...
--- a/curlewhall/recovery/run.py
+++ b/curlewhall/recovery/run.py
@@ -70,18 +70,18 @@
 
         Otherwise, `on_durable(durable)` is called later with whether the record is on disk.
         """
-        facts, now = active_play.info, self.now()
+        info, now = active_play.info, self.now()
         if number:
             self.store.add(Reallocated(now))
         waits = self.strict and (paid or number > 0)
         self.store.add(
             AllocationSent(
-                facts.play,
+                info.play,
                 number + active_play.number_offset,
                 node,
-                facts.viewer,
-                facts.title,
-                facts.product,
+                info.viewer,
+                info.title,
+                info.product,
                 paid,
                 now,
             ),
@@ -93,7 +93,7 @@
         """Record the first frame of an allocation."""
         self.store.add(PlayStarted(play, number))
 
-    def play_over(self, play: str) -> None:
+    def play_ended(self, play: str) -> None:
         """Record the end of a play, if it has a recorded allocation."""
         if play in self.state.allocations:
             self.store.add(PlayEnded(play))
@@ -117,7 +117,7 @@
         ]:
             self.store.add(PlayEnded(play))
 
-    def played_ms(self, play: str, number: int) -> int:
+    def min_uptime_ms(self, play: str, number: int) -> int:
         """Return for how long the node that holds the play has run at least, up to the warm-up time."""
         return min_uptime_ms(self.state, self.now(), play, number, self.warm_within_ms)
 
--- a/curlewhall/recovery/store.py
+++ b/curlewhall/recovery/store.py
@@ -81,7 +81,7 @@
         folder: str | Path,
         window_ms: int,
         disk: Disk | None = None,
-        warn: Callable[..., None] = lambda *facts, **named: None,
+        warn: Callable[..., None] = lambda *arguments, **fields: None,
         now: Callable[[], int] = lambda: time.time_ns() // 1_000_000,
     ) -> None:
         self.folder, self.disk, self.warn, self.now = Path(folder), disk or Disk(), warn, now
--- a/tests/recovery/test_kept.py
+++ b/tests/recovery/test_kept.py
@@ -13,7 +13,7 @@
 from curlewhall.recovery.store import Disk, StoreLockedError
 
 
-def raise_disk_full(*facts):
+def raise_disk_full(*arguments):
     raise OSError(errno.ENOSPC, "No space left on device")
 
 
@@ -27,7 +27,7 @@
 ):
     async with deployment(tmp_path, TwoDrawn, durability=durability) as place:
         monkeypatch.setattr(
-            Disk, "append", lambda *facts: (_ for _ in ()).throw(OSError(errno.ENOSPC, "full"))
+            Disk, "append", lambda *arguments: (_ for _ in ()).throw(OSError(errno.ENOSPC, "full"))
         )
         monkeypatch.setattr(Disk, "write", Disk.append)
         message, _ = await place.ask(product=product)
@@ -73,7 +73,9 @@
     async with deployment(tmp_path, TwoDrawn, nodes=1, durability="strict", setup_ms=[2000, 2000]) as place:
         front, greeted = place.fronts[0], []
         hello = front.nodes.hello
-        monkeypatch.setattr(front.nodes, "hello", lambda *facts: (hello(*facts), greeted.append(facts)))
+        monkeypatch.setattr(
+            front.nodes, "hello", lambda *arguments: (hello(*arguments), greeted.append(arguments))
+        )
         request = asyncio.ensure_future(place.ask(product="paid", viewer="one"))
         await until(lambda: place.rows("setup"))
         front.nodes.nodes["n000"].stream.withdraw()
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -159,7 +159,7 @@
 
 def open_folder(path, disk=None, warnings=None):
     folder = StateFolder(
-        path, 50, disk, warn=lambda what, **facts: warnings is not None and warnings.append(what)
+        path, 50, disk, warn=lambda event, **fields: warnings is not None and warnings.append(event)
     )
     folder.open()
     return folder
@@ -300,11 +300,11 @@
         self.unblocked, self.callers, self.entered = threading.Event(), set(), threading.Event()
         self.unblocked.set()
 
-    def fails(self, *facts):
+    def fails(self, *arguments):
         self.callers.add(threading.get_ident())
         self.entered.set()
         assert self.unblocked.wait(20)
-        return super().fails(*facts)
+        return super().fails(*arguments)
 
 
 @contextlib.asynccontextmanager
@@ -380,7 +380,9 @@
         "rules.spare_allocations": 3,
         "rules.extra_per_request": 0.1,
     }
-    play_store = PlayStore(type("StoreStub", (), {"add": lambda *facts: None}), True, start_settings, state)
+    play_store = PlayStore(
+        type("StoreStub", (), {"add": lambda *arguments: None}), True, start_settings, state
+    )
     assert play_store.is_uncertain("v", "t", "paid") and not play_store.may_reallocate()
     wall[0] -= 3_600_000
     assert play_store.is_uncertain("v", "t", "paid") and not play_store.may_reallocate()
