--- a/bench/sites_sim.py
+++ b/bench/sites_sim.py
@@ -312,7 +312,7 @@
         rows = [node.row("serving") for node in world.nodes.values()]
         self.follower.take(forms.Listing("whole", 1, 0, rows, list(world.titles.values())), "whole")
         for node in self.driver.module.nodes.values():
-            node.cold_from = float("-inf")
+            node.cold_since = float("-inf")
 
     # ---- peers
 
--- a/curlewhall/drills/breakers.py
+++ b/curlewhall/drills/breakers.py
@@ -4,7 +4,7 @@
 
 import time
 
-from curlewhall.policy import PASS, SECOND, Front
+from curlewhall.policy import PASS, TICKS_PER_SECOND, Front
 from curlewhall.sites.decide import Sites
 from curlewhall.sites.state import LOST
 
@@ -14,7 +14,7 @@
 
     def asked(self, now, play, *facts, **named):
         said = super().asked(now, play, *facts, **named)
-        if self.takes.totals[-1] == 10:
+        if self.requests.totals[-1] == 10:
             time.sleep(4.5)  # a computation that never ends would look like this from outside
         return said
 
@@ -26,8 +26,8 @@
         said = list(super().asked(now, play, *facts, **named))
         sent = [answer for answer in said if answer[0] == "allocate"]
         others = [node for node in self.nodes if sent and node != sent[0][2]]
-        if others and self.chance(3) == 0:
-            said.append(("allocate", play, others[self.chance(len(others))], sent[0][3]))
+        if others and self.random_below(3) == 0:
+            said.append(("allocate", play, others[self.random_below(len(others))], sent[0][3]))
             self.plays[play].allocations.append(self.plays[play].allocations[0])
         return said
 
@@ -37,9 +37,9 @@
 
     leaving = frozenset()
 
-    def drawing(self, now, ply):
-        ply.nodes = [node for node in ply.nodes if node.id in self.leaving] or ply.nodes
-        return super().drawing(now, ply)
+    def choosing_node(self, now, play):
+        play.candidates = [node for node in play.candidates if node.id in self.leaving] or play.candidates
+        return super().choosing_node(now, play)
 
     def listed(self, now, how, rows):
         rows = list(rows)
@@ -62,27 +62,27 @@
         for row in rows:
             if row.started > 0 and row.state == "serving" and self.young is None:
                 self.young = row.node
-                self.out.append(("wake", SECOND * 12 // 5, -5))
+                self.answers.append(("wake", TICKS_PER_SECOND * 12 // 5, -5))
         return super().listed(now, how, rows)
 
-    def gathering(self, now, ply):
-        if self.young is None or ply.allocations:
+    def gathering(self, now, play):
+        if self.young is None or play.allocations:
             return PASS
-        self.gathered.append(ply)
+        self.gathered.append(play)
         return "keep"
 
-    def drawing(self, now, ply):
-        ply.nodes = [self.nodes[self.young]] if self.young else ply.nodes[:1]
+    def choosing_node(self, now, play):
+        play.candidates = [self.nodes[self.young]] if self.young else play.candidates[:1]
         return PASS
 
     def wake(self, now, label):
         if label == -5:
             gathered, self.gathered, young = self.gathered, [], self.young
-            for ply in [p for p in gathered if not p.answered]:
-                for ahead in (self.drawing, self.shaping, self.sending):
-                    ahead(now, ply)
+            for play in [p for p in gathered if not p.answered]:
+                for ahead in (self.choosing_node, self.choosing_rung, self.allocating):
+                    ahead(now, play)
             self.young = None if young is not None else self.young
-            return self.said()
+            return self.take_answers()
         return super().wake(now, label)
 
 
@@ -99,7 +99,7 @@
 class Spender(Front):
     """Rule 6: withdraws each first allocation of a harmless play and sends another."""
 
-    def rationed(self, now, ply):
+    def rationed(self, now, play):
         return PASS
 
     def asked(self, now, play, *facts, **named):
--- a/curlewhall/moves/decide.py
+++ b/curlewhall/moves/decide.py
@@ -18,7 +18,7 @@
 from collections import deque
 from typing import NamedTuple
 
-from curlewhall.policy import Changes
+from curlewhall.policy import WindowedSum
 
 from .heap import IndexedHeap
 
@@ -84,7 +84,7 @@
     """What a node or rack is asked for, from its last report and what this front has placed there since."""
 
     def __init__(self) -> None:
-        self.full, self.at, self.placed = 0.0, -FRESH * 9, Changes(2 * FRESH)
+        self.full, self.at, self.placed = 0.0, -FRESH * 9, WindowedSum(2 * FRESH)
 
 
 class Mover:
@@ -369,7 +369,7 @@
         for heard, given in ((self.heard[node], room.link), (self.racks[room.rack], uplink)):
             # what others may have placed since the report counts as much as this front's own
             since = max(heard.at, now - 2 * FRESH)
-            mine = max(0.0, heard.placed.since(since)) * self.terms["fronts"]
+            mine = max(0.0, heard.placed.sum_since(since)) * self.terms["fronts"]
             full = heard.full if now - heard.at <= FRESH else self.average(now)
             fullest = max(fullest, (full * given + mine + rate) / given)
         # Danger: the least product is capped at this front's slice of a node above the fraction, moved or
--- a/tests/daemon/test_handover.py
+++ b/tests/daemon/test_handover.py
@@ -74,8 +74,8 @@
         front = exchange.new
         assert len(front.driver.plays) == 6 and front.driver.counts["played"] == 6
         assert len(front.driver.module.plays) == 6
-        known = [node.cold_from for node in front.driver.module.nodes.values()]
-        old = [node.cold_from for node in exchange.old.driver.module.nodes.values()]
+        known = [node.cold_since for node in front.driver.module.nodes.values()]
+        old = [node.cold_since for node in exchange.old.driver.module.nodes.values()]
         assert all(new <= before for new, before in zip(known, old, strict=True))  # none is taken for cold
         assert len(front.driver.play_store.state.playing) == 6
         assert (await place.segment(plans[0][1], 2)).status == 200
--- a/tests/front/test_front.py
+++ b/tests/front/test_front.py
@@ -112,12 +112,12 @@
         first = {}
 
         class Steered(policy.Front):
-            def drawing(self, now, ply):
-                if not ply.allocations:
-                    ply.nodes = [self.nodes["n000"]]
+            def choosing_node(self, now, play):
+                if not play.allocations:
+                    play.candidates = [self.nodes["n000"]]
                 else:
-                    ply.nodes = [n for n in ply.nodes if n.id != "n000"]
-                first.setdefault(ply.id, ply.nodes[0].id)
+                    play.candidates = [n for n in play.candidates if n.id != "n000"]
+                first.setdefault(play.id, play.candidates[0].id)
                 return policy.PASS
 
         await place.kill(place.fronts[0])
@@ -441,7 +441,9 @@
         await until(lambda: front.driver.counts["resumed"] == 2)
         assert (await place.segment(plan)).status == 200
         play = next(iter(front.driver.plays))
-        front.driver.module.out.append(("rung", play, 0))  # whatever the module answers next reaches the node
+        front.driver.module.answers.append(
+            ("rung", play, 0)
+        )  # whatever the module answers next reaches the node
         front.driver.dispatch("wake", -9)
         await until(lambda: [row for row in place.rows("rung") if row["play"] == play])
 
--- a/tests/front/test_moves.py
+++ b/tests/front/test_moves.py
@@ -118,7 +118,7 @@
         now = place.fronts[0].driver.clock.now()
         before = (
             module.draws,
-            list(module.out),
+            list(module.answers),
             sorted(module.plays),
             [len(n.plays) for n in module.nodes.values()],
         )
@@ -127,7 +127,7 @@
             assert found == bool(count)
         assert before == (
             module.draws,
-            list(module.out),
+            list(module.answers),
             sorted(module.plays),
             [len(n.plays) for n in module.nodes.values()],
         )
--- a/tests/recovery/test_kept.py
+++ b/tests/recovery/test_kept.py
@@ -97,7 +97,7 @@
         front = await place.front()
         await until(lambda: front.driver.counts["resumed"] == 24)
         nodes, now = front.driver.module.nodes.values(), front.driver.clock.now()
-        ran = {now - node.cold_from >= front.driver.start_settings["rules.warm_within"] for node in nodes}
+        ran = {now - node.cold_since >= front.driver.start_settings["rules.warm_within"] for node in nodes}
         assert ran == {bool(age)}
         answers = await asyncio.gather(*[place.ask(viewer=f"w{i}", top=0) for i in range(60)])
         assert not age or all(message.status == 200 for message, _ in answers)
--- a/tests/relay/deployment.py
+++ b/tests/relay/deployment.py
@@ -186,9 +186,11 @@
         if self.clock is not None:
             self.relay.driver.clock.source = self.clock
             self.relay.timers.arm = lambda due: None  # they ring in `advance` alone
-        self.relay.driver.module.chance = lambda below: 0  # the first holder; cold nodes let plays through
+        self.relay.driver.module.random_below = (
+            lambda bound: 0
+        )  # the first holder; cold nodes let plays through
         for node in self.relay.driver.module.nodes.values():
-            node.cold_from = float("-inf")
+            node.cold_since = float("-inf")
         return self
 
     def write(self, text):
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -97,7 +97,7 @@
         ((node, _, _, body),) = place.platform.of("answered")
         assert (answer.kind, answer.fields[DESCRIPTION], cause(end)) == (ANSWER, body, 16)
         found = place.relay.driver.module.nodes[node]
-        assert not found.broken and not found.doubt and not place.relay.driver.plays
+        assert not found.connection_lost and not found.failures and not place.relay.driver.plays
         assert not place.platform.broken() and not place.platform.standing()
 
 
@@ -298,7 +298,7 @@
         )
         assert cause(await viewer.hear(session, 2)) == 41
         await place.until(lambda: place.relay.nodes.nodes.keys() == {"m7"})
-        next(iter(place.relay.driver.module.cells.values()))[-1].cold_from = float("-inf")
+        next(iter(place.relay.driver.module.nodes_by_place.values()))[-1].cold_since = float("-inf")
         node.say("ended", session, 41)
         other = viewer.ask()
         assert (await viewer.hear(other)).kind == ANSWER
@@ -316,7 +316,9 @@
         viewer = await place.platform.viewer(place.port)
         await viewer.hear(viewer.ask())
         found = place.relay.driver.module.nodes["n0"]
-        assert (found.heard, found.rack.heard) == (0.25, 0.5) and place.platform.of("asked for load")
+        assert (found.reported_load, found.rack.reported_load) == (0.25, 0.5) and place.platform.of(
+            "asked for load"
+        )
         place.relay.nodes.set_rung("n0", next(iter(place.relay.driver.plays)), 0, 3)
         await place.until(lambda: place.platform.of("rung"))
         assert place.platform.of("rung")[0][3] == 3
@@ -593,7 +595,7 @@
             )
             await place.until(lambda n=number: relay.channel.cursor == n)
             for node in relay.driver.module.nodes.values():
-                node.cold_from = float("-inf")
+                node.cold_since = float("-inf")
         await place.until(lambda: len(relay.nodes.nodes) == 4 and not relay.viewers.connections)
         left = {
             "sessions": relay.viewers.sessions,
--- a/tests/sites/test_sites_fleet.py
+++ b/tests/sites/test_sites_fleet.py
@@ -55,7 +55,7 @@
         await until(lambda: not place.watch().hidden_nodes)
         # cold: the module paces what has come back, whatever the list says of it
         now = place.fronts[0].driver.clock.now()
-        assert all(now - module.nodes[name].cold_from < 20_000 * 10 for name in place.at())
+        assert all(now - module.nodes[name].cold_since < 20_000 * 10 for name in place.at())
         assert place.watch().state()["sites"]["north"]["hidden"] == 0
     finally:
         await place.close()
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -75,7 +75,7 @@
             bench.front.probed(bench.now, node, "ok", 10, {"link_asked": 0.2, "uplink_asked": 0.2})
         bench.front.probed(bench.now, "n0", "ok", 10, {"link_asked": value, "uplink_asked": 0.2})
         assert verbs(bench.ask("dear", first=1, places=1, top=0)[1])[-1] == "allocate"
-        assert 0 < bench.front.own_part(bench.now) <= 1
+        assert 0 < bench.front.own_share(bench.now) <= 1
 
 
 @pytest.mark.parametrize(
--- a/tests/test_rungs.py
+++ b/tests/test_rungs.py
@@ -63,7 +63,7 @@
     for _ in range(8):
         bench.play("dear", places=1, top=1)
     for ply in bench.front.plays.values():
-        ply.top = 3
+        ply.top_rung = 3
     bench.wait(1)
     assert least <= len(report(bench, 0.4, uplink)) <= most
 
@@ -334,7 +334,7 @@
 def test_a_dear_probe_is_asked_only_where_enough_plays_share_its_report(make, price, before, asks):
     bench = make(**{"report.how": "on_probe", "costs.probe": price})
     for _ in range(before):
-        bench.front.takes.add(bench.now, 1)
+        bench.front.requests.add(bench.now, 1)
     _, said = bench.ask()
     assert ("probe" in verbs(said)) is asks
     assert ("allocate" in verbs(said)) is not asks
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -141,7 +141,7 @@
         )
         == []
     )
-    assert not wire.host.fronts["3"].plays and wire.host.fronts["3"].nodes[node].heard == 0.6
+    assert not wire.host.fronts["3"].plays and wire.host.fronts["3"].nodes[node].reported_load == 0.6
 
 
 @pytest.mark.parametrize(
@@ -181,7 +181,7 @@
         "later i=3 thing=1",
     )
     assert [line.split()[0] for line in said] == ["set_rung", "send"]
-    assert wire.host.fronts["3"].nodes["n0"].heard == 0.4
+    assert wire.host.fronts["3"].nodes["n0"].reported_load == 0.4
     assert (
         wire.say(
             21_000,
