--- a/curlewhall/__main__.py
+++ b/curlewhall/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m curlewhall` is the command `curlewhall`."""
+"""Runs the command `curlewhall` as `python -m curlewhall`."""
 
 from curlewhall.cli import main
 
--- a/curlewhall/relay/viewers.py
+++ b/curlewhall/relay/viewers.py
@@ -12,7 +12,7 @@
 from curlewhall.codecs import messages
 from curlewhall.errors import CurlewhallError
 from curlewhall.front.driver import ActivePlay, Driver
-from curlewhall.platform_names import to_tenths
+from curlewhall.platform_names import milliseconds_to_ticks
 from curlewhall.wire.transport import Transport
 
 SILENT = 2.0  # seconds to a connection's first sound message, or for one half sent; 3 s are allowed from its
@@ -400,7 +400,7 @@
             raise SetUpError("figures out of range")
         patience = 0
         if "at" not in figures:
-            patience = to_tenths(
+            patience = milliseconds_to_ticks(
                 self.figure(fields.get(messages.PATIENCE, b"").decode("latin-1"), "patience")
             )
             if not 0 < patience <= product[1]:
--- a/curlewhall/simhost/__init__.py
+++ b/curlewhall/simhost/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter between the decision module and the simulator's wire. It decides nothing."""
+"""Adapter that runs the decision module under the simulator's line protocol."""
--- a/curlewhall/simhost/__main__.py
+++ b/curlewhall/simhost/__main__.py
@@ -1,4 +1,4 @@
-"""Run the front's decisions on the simulator's wire: standard input to standard output."""
+"""Runs fronts under the simulator: events on standard input, answers on standard output."""
 
 import sys
 
@@ -7,6 +7,7 @@
 
 
 def main() -> int:
+    """Run until the input ends; returns the exit code."""
     try:
         Host(Front, sys.stdout).run(sys.stdin)
     except SimulatorMessageError as err:
--- a/curlewhall/simhost/host.py
+++ b/curlewhall/simhost/host.py
@@ -1,6 +1,7 @@
-"""Batches of events in, one reply for each out; every event becomes one call on its instance's front.
+"""Adapter between decision modules and the simulator's line protocol.
 
-Only names and units change here: milliseconds become whole tenths, wire names become the project's words.
+Reads batches of event lines, turns each event into one call of its instance's front, and writes one reply for
+each batch. It translates names, and milliseconds to whole tenths of a millisecond; it decides nothing.
 """
 
 import base64
@@ -11,9 +12,9 @@
 
 from curlewhall.errors import CurlewhallError
 from curlewhall.interface import NodeRow
-from curlewhall.platform_names import NOTE_KINDS, parse_load_report, start_settings_of, to_tenths
+from curlewhall.platform_names import NOTE_KINDS, milliseconds_to_ticks, parse_load_report, start_settings_of
 
-ENDINGS = {
+OUTCOMES = {
     "GOOD": "ok",
     "BAD": "error",
     "FULL": "full",
@@ -23,36 +24,37 @@
     "CXL": "withdrawn",
     "NOP": "not_sent",
 }
-STATES = {"SERVING": "serving", "DRAINING": "draining", "DELETED": "gone"}
-LISTINGS = {"patch": "changes", "whole": "whole", "stale_copy": "old_copy", "broken": "failed"}
+NODE_STATES = {"SERVING": "serving", "DRAINING": "draining", "DELETED": "gone"}
+LIST_KINDS = {"patch": "changes", "whole": "whole", "stale_copy": "old_copy", "broken": "failed"}
 
 
 class SimulatorMessageError(CurlewhallError):
-    """The input breaks the wire's form."""
+    """A line of the simulator that does not follow the line protocol."""
 
     remedy = (
-        "Run the adapter under the bench's own command, of the version that the deploy file " "was made for."
+        "Start the adapter by the simulator's own command, of the version that the deploy file was made for."
     )
 
 
-def millis(span: int) -> str:
-    return f"{span // 10}.{span % 10}" if span >= 0 else f"-{millis(-span)}"
+def format_milliseconds(ticks: int) -> str:
+    """Whole tenths of a millisecond as milliseconds with one decimal."""
+    return f"{ticks // 10}.{ticks % 10}" if ticks >= 0 else f"-{format_milliseconds(-ticks)}"
 
 
-def flag(text: str) -> bool:
+def parse_flag(text: str) -> bool:
     if text not in ("0", "1"):
         raise ValueError(f"{text!r} is neither 0 nor 1")
     return text == "1"
 
 
-def fields_of(line: str) -> tuple[str, dict[str, str]]:
-    """The tag of a line and its name=value pairs; the settings take the rest of their line."""
+def parse_line(line: str) -> tuple[str, dict[str, str]]:
+    """The tag of a line and its name=value pairs. The value of "config" is the rest of its line."""
     tag, _, rest = line.partition(" ")
     pairs = {}
     if tag == "born":
-        rest, found, text = rest.partition("config=")
+        rest, found, config = rest.partition("config=")
         if found:
-            pairs["config"] = text
+            pairs["config"] = config
     for part in rest.split():
         name, equals, value = part.partition("=")
         if not equals or not name:
@@ -61,13 +63,14 @@
     return tag, pairs
 
 
-def ending_of(code: str) -> str:
-    """The ending in our words; one that the wire adds later is an error of which nothing is proved."""
-    return ENDINGS.get(code, "error")
+def parse_outcome(code: str) -> str:
+    """The outcome of an allocation or probe. An unknown code counts as "error", which proves nothing."""
+    return OUTCOMES.get(code, "error")
 
 
-def row_of(pairs: dict[str, str]) -> NodeRow | None:
-    state = STATES.get(pairs["availability"])
+def parse_node_row(pairs: dict[str, str]) -> NodeRow | None:
+    """The row of a node; None for a state that the interface does not know."""
+    state = NODE_STATES.get(pairs["availability"])
     return state and NodeRow(
         pairs["node"],
         int(pairs.get("place", 0)),
@@ -75,13 +78,13 @@
         pairs.get("shape", ""),
         state,
         float(pairs.get("power-hint", 1)),
-        to_tenths(pairs.get("came-up-ms", 0)),
+        milliseconds_to_ticks(pairs.get("came-up-ms", 0)),
     )
 
 
-def play_of(pairs: dict[str, str]) -> dict[str, Any]:
-    """What `asked` and `resumed` have in common."""
-    guess = pairs.get("cost-guess-ms")
+def parse_play(pairs: dict[str, str]) -> dict[str, Any]:
+    """The arguments that `Front.asked` and `Front.resumed` have in common."""
+    watch_ms = pairs.get("cost-guess-ms")
     return {
         "play": pairs["ticket"],
         "product": pairs["profile"],
@@ -91,45 +94,58 @@
         "first_place": int(pairs.get("base", 0)),
         "places": int(pairs.get("copies", 0)),
         "top_rung": int(pairs.get("max-rung", 0)),
-        "length": None if guess is None else to_tenths(guess),
+        "length": None if watch_ms is None else milliseconds_to_ticks(watch_ms),
     }
 
 
 class Host:
-    """All instances of this process."""
+    """Runs the instances of one process.
 
-    def __init__(self, make: Callable[..., Any], out: TextIO) -> None:
-        self.make, self.out = make, out
-        self.fronts: dict[str, Any] = {}
-        self.banks: dict[str, list[NodeRow]] = {}
+    `make_front` is called with the arguments of `interface.Front` for each new instance.
+    """
+
+    def __init__(self, make_front: Callable[..., Any], output: TextIO) -> None:
+        self.make_front = make_front
+        self.output = output
+        self.fronts: dict[str, Any] = {}  # by instance
+        self.node_lists: dict[str, list[NodeRow]] = {}  # by number of the simulator's bank
         self.now = 0
-        self.reply: list[str] = []
+        self.reply: list[str] = []  # lines for the present batch
 
     def run(self, lines: Iterable[str]) -> None:
-        """Answer batch after batch until the input ends."""
-        source = enumerate(lines, 1)
+        """Read and answer batches until the input ends.
+
+        Raises `SimulatorMessageError`, which names the line, for input that breaks the protocol.
+        """
+        numbered_lines = enumerate(lines, 1)
         serial: str | None = None
-        for number, raw in source:
+        for number, raw in numbered_lines:
             line = raw.rstrip("\r\n")
             if not line:
                 continue
             try:
-                tag, pairs = fields_of(line)
+                tag, pairs = parse_line(line)
                 if tag == "sync":
                     if serial is not None:
-                        raise SimulatorMessageError("sync inside a batch")
-                    self.now, serial, self.reply = to_tenths(pairs["moment-ms"]), pairs["serial"], []
+                        raise SimulatorMessageError("sync inside a batch, before its go")
+                    self.now, serial, self.reply = (
+                        milliseconds_to_ticks(pairs["moment-ms"]),
+                        pairs["serial"],
+                        [],
+                    )
                 elif serial is None:
-                    raise SimulatorMessageError(f"{tag!r} outside a batch")
+                    raise SimulatorMessageError(f"{tag!r} outside a batch, which begins with sync")
                 elif tag == "go":
                     self.reply.append(f"done serial={serial}\n")
-                    self.out.write("\n".join(self.reply))
-                    self.out.flush()
+                    self.output.write("\n".join(self.reply))
+                    self.output.flush()
                     serial = None
                 elif tag == "catalog":
-                    self.banks[pairs["bank"]] = self.rows(source, int(pairs["rows-in"]))
+                    self.node_lists[pairs["bank"]] = self.read_node_rows(
+                        numbered_lines, int(pairs["rows-in"])
+                    )
                 else:
-                    self.event(tag, pairs)
+                    self.handle_event(tag, pairs)
             except KeyError as err:
                 raise SimulatorMessageError(
                     f"line {number}: field {err.args[0]!r} is missing: {line[:200]}"
@@ -139,85 +155,93 @@
             except SimulatorMessageError as err:
                 raise SimulatorMessageError(f"line {number}: {err}: {line[:200]}") from None
         if serial is not None:
-            raise SimulatorMessageError("the input ends inside a batch")
+            raise SimulatorMessageError("the input ends inside a batch, before its go")
 
-    def rows(self, source: Iterable[tuple[int, str]], count: int) -> list[NodeRow]:
+    def read_node_rows(self, numbered_lines: Iterable[tuple[int, str]], count: int) -> list[NodeRow]:
+        """Read the `count` rows that follow a catalog line; rows of unknown states are left out."""
         rows = []
         for _ in range(count):
-            number, line = next(source, (0, ""))
-            tag, pairs = fields_of(line.rstrip("\r\n"))
+            number, line = next(numbered_lines, (0, ""))
+            tag, pairs = parse_line(line.rstrip("\r\n"))
             if tag != "row":
                 raise SimulatorMessageError(
-                    f"{count} rows announced, row {len(rows) + 1} (line {number}) is {tag!r}"
+                    f"{count} rows announced, row {len(rows) + 1} (line {number}) is {tag!r} instead of 'row'"
                 )
-            row = row_of(pairs)
+            row = parse_node_row(pairs)
             if row:
                 rows.append(row)
         return rows
 
-    def event(self, tag: str, pairs: dict[str, str]) -> None:
-        """Turn one event into one call and write down what is answered."""
-        at, now = pairs["i"], self.now
+    def handle_event(self, tag: str, pairs: dict[str, str]) -> None:
+        """Start or end an instance, or pass the event on to it."""
+        instance = pairs["i"]
+        now = self.now
         if tag == "born":
-            seed, settings = int(pairs["rng-seed"]), json.loads(pairs["config"])
+            seed = int(pairs["rng-seed"])
+            settings = json.loads(pairs["config"])
             self.call(
-                at, lambda: self.fronts.update({at: self.make(now, seed, start_settings_of(settings))}) or ()
+                instance,
+                lambda: self.fronts.update(
+                    {instance: self.make_front(now, seed, start_settings_of(settings))}
+                )
+                or (),
             )
             return
         if tag == "power_off":
-            self.fronts.pop(at, None)
+            self.fronts.pop(instance, None)
             return
-        front = self.fronts.get(at)
+        front = self.fronts.get(instance)
         if front is None:
-            raise SimulatorMessageError(f"{tag!r} for instance {at}, which is not running")
-        self.tell(at, front, tag, pairs, now)
+            raise SimulatorMessageError(f"{tag!r} for instance {instance}, which is not running")
+        self.dispatch(instance, front, tag, pairs, now)
 
-    def tell(self, at: str, front: Any, tag: str, pairs: dict[str, str], now: int) -> None:
+    def dispatch(self, instance: str, front: Any, tag: str, pairs: dict[str, str], now: int) -> None:
+        """Make the call for an event; events of unknown tags are ignored."""
         if tag == "members":
-            how = LISTINGS.get(pairs["how"])
+            how = LIST_KINDS.get(pairs["how"])
             if how:
-                rows = [] if how == "failed" else self.banks[pairs["bank"]]
-                self.call(at, front.listed, now, how, rows)
+                rows = [] if how == "failed" else self.node_lists[pairs["bank"]]
+                self.call(instance, front.listed, now, how, rows)
         elif tag == "submit":
             self.call(
-                at,
+                instance,
                 front.asked,
                 now,
-                limit=to_tenths(pairs["valid-until-ms"]),
-                moved=flag(pairs.get("was-moved", "0")),
-                again=flag(pairs.get("came-back", "0")),
-                **play_of(pairs),
+                limit=milliseconds_to_ticks(pairs["valid-until-ms"]),
+                moved=parse_flag(pairs.get("was-moved", "0")),
+                again=parse_flag(pairs.get("came-back", "0")),
+                **parse_play(pairs),
             )
         elif tag == "resumed":
-            self.call(at, front.resumed, now, node=pairs["node"], **play_of(pairs))
+            self.call(instance, front.resumed, now, node=pairs["node"], **parse_play(pairs))
         elif tag == "first_byte":
             self.call(
-                at,
+                instance,
                 front.first_frame,
                 now,
                 pairs["ticket"],
                 int(pairs["trial"]),
                 pairs["node"],
-                to_tenths(pairs.get("lag-ms", 0)),
+                milliseconds_to_ticks(pairs.get("lag-ms", 0)),
             )
         elif tag == "answer":
             self.call(
-                at,
+                instance,
                 front.ended,
                 now,
                 pairs["ticket"],
                 int(pairs["trial"]),
                 pairs["node"],
-                ending_of(pairs["rc"]),
-                flag(pairs.get("final", "0")),
-                to_tenths(pairs.get("lag-ms", 0)),
+                parse_outcome(pairs["rc"]),
+                parse_flag(pairs.get("final", "0")),
+                milliseconds_to_ticks(pairs.get("lag-ms", 0)),
                 parse_load_report(pairs.get("report", ""), ","),
             )
         elif tag == "progress":
             kind = NOTE_KINDS.get(int(pairs["topic"]))
             if kind:
                 self.call(
-                    at,
+                    instance,
                     front.note,
                     now,
                     pairs["ticket"],
@@ -228,54 +252,64 @@
                 )
         elif tag == "probe_done":
             self.call(
-                at,
+                instance,
                 front.probed,
                 now,
                 pairs["node"],
-                ending_of(pairs["rc"]),
-                to_tenths(pairs.get("lag-ms", 0)),
+                parse_outcome(pairs["rc"]),
+                milliseconds_to_ticks(pairs.get("lag-ms", 0)),
                 parse_load_report(pairs.get("report", ""), ","),
             )
         elif tag == "message":
-            self.call(at, front.told, now, int(pairs["by"]), octets(pairs.get("octets", "-")))
+            self.call(instance, front.told, now, int(pairs["by"]), decode_body(pairs.get("octets", "-")))
         elif tag == "bell":
-            self.call(at, front.wake, now, int(pairs["label"]))
+            self.call(instance, front.wake, now, int(pairs["label"]))
         elif tag == "client_gone":
-            self.call(at, front.left, now, pairs["ticket"])
+            self.call(instance, front.left, now, pairs["ticket"])
 
-    def call(self, at: str, what: Callable[..., Iterable[tuple]], *facts: Any, **named: Any) -> None:
+    def call(
+        self, instance: str, method: Callable[..., Iterable[tuple]], *arguments: Any, **named: Any
+    ) -> None:
+        """Call the front and add its answers to the reply; an exception is reported as the instance's end."""
         try:
-            self.reply.extend(line for answer in what(*facts, **named) if (line := wire(at, answer)))
-        except Exception as err:  # the module failed: say so for this instance, in one line
-            self.reply.append(f"die i={at} body-text={type(err).__name__}: {' '.join(str(err).split())}")
+            self.reply.extend(
+                line for answer in method(*arguments, **named) if (line := encode_answer(instance, answer))
+            )
+        except Exception as err:
+            self.reply.append(
+                f"die i={instance} body-text={type(err).__name__}: {' '.join(str(err).split())}"
+            )
 
 
-def octets(text: str) -> bytes:
+def decode_body(text: str) -> bytes:
+    """The bytes of a message between instances; "-" stands for none."""
     return b"" if text == "-" else base64.b64decode(text, validate=True)
 
 
-def wire(at: str, answer: tuple) -> str:
-    """The line that carries out one answer."""
+def encode_answer(instance: str, answer: tuple) -> str:
+    """The line of the simulator's protocol for one answer of a front."""
     verb, *rest = answer
     if verb == "allocate":
-        return f"send i={at} ticket={rest[0]} node={rest[1]} allow-for-ms={millis(rest[2])}"
+        return (
+            f"send i={instance} ticket={rest[0]} node={rest[1]} allow-for-ms={format_milliseconds(rest[2])}"
+        )
     if verb == "rung":
-        return f"set_rung i={at} ticket={rest[0]} grade={rest[1]}"
+        return f"set_rung i={instance} ticket={rest[0]} grade={rest[1]}"
     if verb == "decline":
-        return f"deny i={at} ticket={rest[0]} stay-away-ms={millis(rest[1])}"
+        return f"deny i={instance} ticket={rest[0]} stay-away-ms={format_milliseconds(rest[1])}"
     if verb == "fail":
-        return f"lose i={at} ticket={rest[0]}"
+        return f"lose i={instance} ticket={rest[0]}"
     if verb == "withdraw":
-        return f"abandon i={at} ticket={rest[0]} trial={rest[1]}"
+        return f"abandon i={instance} ticket={rest[0]} trial={rest[1]}"
     if verb == "move":
-        return f"reassign i={at} ticket={rest[0]}"
+        return f"reassign i={instance} ticket={rest[0]}"
     if verb == "probe":
-        return f"ping i={at} node={rest[0]}"
+        return f"ping i={instance} node={rest[0]}"
     if verb == "tell":
-        dst = "*" if rest[0] is None else rest[0]
-        return f"write_peer i={at} dst={dst} octets={base64.b64encode(rest[1]).decode() or '-'}"
+        peer = "*" if rest[0] is None else rest[0]
+        return f"write_peer i={instance} dst={peer} octets={base64.b64encode(rest[1]).decode() or '-'}"
     if verb == "wake":
-        return f"timer i={at} span-ms={millis(rest[0])} label={rest[1]}"
+        return f"timer i={instance} span-ms={format_milliseconds(rest[0])} label={rest[1]}"
     if verb == "log":
-        return f"record i={at} body-text={' '.join(rest[0].split())}"
-    raise ValueError(f"the module answered {verb!r}, which the interface does not know")
+        return f"record i={instance} body-text={' '.join(rest[0].split())}"
+    raise ValueError(f"the decision module answered {verb!r}, which is not a verb of the interface")
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -6,9 +6,9 @@
 import pytest
 from conftest import start_settings
 
-from curlewhall.platform_names import to_tenths
+from curlewhall.platform_names import milliseconds_to_ticks
 from curlewhall.policy import Front
-from curlewhall.simhost.host import Host, SimulatorMessageError, millis
+from curlewhall.simhost.host import Host, SimulatorMessageError, format_milliseconds
 
 CONFIG = json.dumps(
     {
@@ -212,7 +212,8 @@
         (("log", "two\nlines"), "record i=1 body-text=two lines"),
         (
             ("dance",),
-            "die i=1 body-text=ValueError: the module answered 'dance', which the interface does not " "know",
+            "die i=1 body-text=ValueError: the decision module answered 'dance', which is not a verb of the "
+            "interface",
         ),
     ],
 )
@@ -254,4 +255,4 @@
     [("0", 0), ("1.25", 12), ("0.3", 3), ("2999.95", 29_999), ("99999999999.9", 999_999_999_999)],
 )
 def test_time_limits_never_grow_on_the_way(text, value):
-    assert to_tenths(text) == value and float(millis(value)) <= float(text)
+    assert milliseconds_to_ticks(text) == value and float(format_milliseconds(value)) <= float(text)
