--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,17 +1,17 @@
-"""The one helper file: small start settings, a front with four nodes, and short forms of the calls."""
+"""Start settings and a harness for tests of the decision module."""
 
 import pytest
 
 from curlewhall.interface import NodeRow
-from curlewhall.policy import Front
+from curlewhall.policy import TICKS_PER_SECOND, Front
 
 pytest_plugins = ["known_red", "pytester"]
-SECOND = 10_000
 
 
 def start_settings(**changes):
-    product = {"time_limit": 3 * SECOND, "first_frame_target": SECOND}
-    plain = {
+    """Start settings of a small platform, by default with two fronts; `changes` by full name."""
+    product = {"time_limit": 3 * TICKS_PER_SECOND, "first_frame_target": TICKS_PER_SECOND}
+    settings = {
         "products": [
             dict(product, name="dear", importance=2.0, idempotency="pure"),
             dict(product, name="cheap", importance=1.0, idempotency="pure"),
@@ -34,42 +34,54 @@
         "specifics.shelves": 2,
         "specifics.uplink_kb": 4000.0,
         "specifics.link_unit_kb": 3000.0,
-        "specifics.told_late": SECOND,
-        "specifics.told_every": 3 * SECOND,
+        "specifics.told_late": TICKS_PER_SECOND,
+        "specifics.told_every": 3 * TICKS_PER_SECOND,
         "specifics.switch_cost_s": 0.5,
         "specifics.stall": 8.0,
         "permissions.probes": True,
         "permissions.retry_after": True,
-        "permissions.max_retry_after": SECOND,
+        "permissions.max_retry_after": TICKS_PER_SECOND,
         "permissions.max_allocations": 3,
         "permissions.peer_messages": False,
         "rules.drain_grace": 5000,
-        "rules.fall": SECOND,
+        "rules.fall": TICKS_PER_SECOND,
         "rules.overload_factor": 4.0,
         "rules.start_capacity": 0.4,
-        "rules.warm_within": 12 * SECOND,
+        "rules.warm_within": 12 * TICKS_PER_SECOND,
     }
-    return plain | changes
+    return settings | changes
 
 
-class Bench:
-    """A front with the nodes n0 to n3, one a place, all holding every title unless told otherwise."""
+class Harness:
+    """A `Front` with warm nodes n0 to n3 at places 0 to 3, and a clock.
+
+    Requests by default ask for a title that all four nodes hold. Times are ticks unless named seconds.
+    """
 
     def __init__(self, **changes):
-        self.now, self.count = 100 * SECOND, 0
+        self.now, self.count = 100 * TICKS_PER_SECOND, 0
         self.front = Front(self.now, changes.pop("seed", 7), start_settings(**changes))
-        self.list("old_copy", *[(f"n{i}", {}) for i in range(4)])
-        self.now += 20 * SECOND  # all warm
+        self.list_nodes("old_copy", *[(f"n{i}", {}) for i in range(4)])
+        self.now += 20 * TICKS_PER_SECOND  # past the warm-up
 
-    def list(self, how, *rows):
-        plain = {"zone": "z", "kind": "box", "state": "serving", "weight": 1, "started": 0}
-        rows = [NodeRow(n, int(n[1:]) % 4, **(plain | more)) for n, more in rows]
+    def list_nodes(self, how, *rows):
+        """Pass rows to `Front.listed`, each a node name and the fields that differ from the defaults."""
+        default = {"zone": "z", "kind": "box", "state": "serving", "weight": 1, "started": 0}
+        rows = [NodeRow(n, int(n[1:]) % 4, **(default | more)) for n, more in rows]
         return list(self.front.listed(self.now, how, rows))
 
-    def ask(self, product="cheap", limit=3 * SECOND, first=0, places=4, top=3, **more):
+    def request(self, product="cheap", limit=3 * TICKS_PER_SECOND, first=0, places=4, top=3, **more):
+        """Request a play; returns its id and the answers."""
         self.count += 1
         play = f"p{self.count}"
-        facts = {"customer": "", "viewer": play, "title": "t", "length": None, "moved": False, "again": False}
+        fields = {
+            "customer": "",
+            "viewer": play,
+            "title": "t",
+            "length": None,
+            "moved": False,
+            "again": False,
+        }
         return play, list(
             self.front.asked(
                 self.now,
@@ -79,37 +91,40 @@
                 first_place=first,
                 places=places,
                 top_rung=top,
-                **(facts | more),
+                **(fields | more),
             )
         )
 
-    def play(self, *args, **more):
-        """A play that plays: its id and node."""
-        play, said = self.ask(*args, **more)
-        node = sent(said)[0][2]
+    def start_play(self, *args, **more):
+        """Request a play and let its first allocation play; returns its id and node."""
+        play, answers = self.request(*args, **more)
+        node = allocations(answers)[0][2]
         self.front.first_frame(self.now, play, 0, node, 500)
         return play, node
 
-    def end(self, play, how, node, number=0, final=False, **report):
+    def end_allocation(self, play, how, node, number=0, final=False, **report):
         return list(self.front.ended(self.now, play, number, node, how, final, 100, report))
 
-    def wait(self, seconds):
-        self.now += int(seconds * SECOND)
+    def advance(self, seconds):
+        self.now += int(seconds * TICKS_PER_SECOND)
 
 
-def sent(said):
-    return [a for a in said if a[0] == "allocate"]
+def allocations(answers):
+    """The answers that allocate, as (verb, play, node, time-out)."""
+    return [a for a in answers if a[0] == "allocate"]
 
 
-def verbs(said):
-    return [a[0] for a in said]
+def verbs(answers):
+    """The verb of each answer."""
+    return [a[0] for a in answers]
 
 
 @pytest.fixture
-def bench():
-    return Bench()
+def harness():
+    return Harness()
 
 
 @pytest.fixture
-def make():
-    return Bench
+def make_harness():
+    """The class, for tests that change start settings."""
+    return Harness
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -1,4 +1,4 @@
-"""The adapter: batches in, replies out, by the words of the bench's wire; no bench at hand."""
+"""Tests of the simulator adapter on batches of protocol lines, without a simulator."""
 
 import io
 import json
@@ -62,24 +62,25 @@
 )
 
 
-class Wire:
-    """A host and its input, batch after batch."""
+class Session:
+    """A `Host` that is fed batch after batch."""
 
-    def __init__(self, make=Front):
-        self.out, self.serial = io.StringIO(), 0
-        self.host = Host(make, self.out)
+    def __init__(self, make_front=Front):
+        self.output = io.StringIO()
+        self.serial = 0
+        self.host = Host(make_front, self.output)
 
-    def say(self, ms, *lines):
-        """The reply's lines but the last, which ends the batch."""
+    def send_batch(self, ms, *lines):
+        """Send event lines as one batch; returns the reply without its last line, which ends the batch."""
         self.serial += 1
-        self.out.seek(0)
-        self.out.truncate()
+        self.output.seek(0)
+        self.output.truncate()
         self.host.run(
             [f"sync moment-ms={ms} serial={self.serial}\n", *(f"{line}\n" for line in lines), "go\n"]
         )
-        *said, last = self.out.getvalue().splitlines()
+        *reply, last = self.output.getvalue().splitlines()
         assert last == f"done serial={self.serial}"
-        return said
+        return reply
 
 
 ROWS = [
@@ -96,17 +97,17 @@
 
 
 @pytest.fixture
-def wire():
-    wire = Wire()
-    assert wire.say(0, *BORN) == []
-    return wire
+def session():
+    session = Session()
+    assert session.send_batch(0, *BORN) == []
+    return session
 
 
-def test_the_settings_come_in_the_projects_words_and_tenths():
+def test_settings_are_translated_to_project_names_and_ticks():
     seen = {}
-    Wire(lambda now, seed, found: seen.update(found, seed=seed, now=now) or Front(now, seed, found)).say(
-        12.37, *BORN
-    )
+    Session(
+        lambda now, seed, found: seen.update(found, seed=seed, now=now) or Front(now, seed, found)
+    ).send_batch(12.37, *BORN)
     assert seen["seed"] == 7 and seen["now"] == 123
     for name, value in start_settings().items():
         if name not in ("products", "permissions.peer_messages"):
@@ -114,34 +115,34 @@
     assert [p["time_limit"] for p in seen["products"]] == [30_000] * 3
 
 
-def test_a_play_from_submit_to_its_end(wire):
-    rung, send = wire.say(20_000, SUBMIT.format("a", "dear", 23_000))
+def test_play_is_translated_from_submit_to_end(session):
+    rung, send = session.send_batch(20_000, SUBMIT.format("a", "dear", 23_000))
     assert rung == "set_rung i=3 ticket=a grade=1"
     node = dict(part.split("=") for part in send.split()[1:])["node"]
     assert send == f"send i=3 ticket=a node={node} allow-for-ms=400.0"
-    assert wire.say(20_020, f"first_byte i=3 ticket=a trial=0 node={node} lag-ms=20.0") == []
+    assert session.send_batch(20_020, f"first_byte i=3 ticket=a trial=0 node={node} lag-ms=20.0") == []
     assert (
-        wire.say(
+        session.send_batch(
             21_000,
             f"progress i=3 ticket=a trial=0 node={node} amount=0.1 topic=3",
             f"progress i=3 ticket=a trial=0 node={node} amount=0.1 topic=9",
         )
         == []
     )
-    stepped = wire.say(22_000, f"progress i=3 ticket=a trial=0 node={node} amount=0.1 topic=4")
+    stepped = session.send_batch(22_000, f"progress i=3 ticket=a trial=0 node={node} amount=0.1 topic=4")
     assert stepped == ["set_rung i=3 ticket=a grade=2"]
-    assert wire.say(23_000, f"progress i=3 ticket=a trial=0 node={node} amount=0.5 topic=1") == [
+    assert session.send_batch(23_000, f"progress i=3 ticket=a trial=0 node={node} amount=0.5 topic=1") == [
         "set_rung i=3 ticket=a grade=1"
     ]
     assert (
-        wire.say(
+        session.send_batch(
             24_000,
             f"answer i=3 ticket=a lag-ms=9.5 final=1 trial=0 rc=GOOD node={node} "
             "report=cpu:0.6,x1:nan,new:1",
         )
         == []
     )
-    assert not wire.host.fronts["3"].plays and wire.host.fronts["3"].nodes[node].reported_load == 0.6
+    assert not session.host.fronts["3"].plays and session.host.fronts["3"].nodes[node].reported_load == 0.6
 
 
 @pytest.mark.parametrize(
@@ -159,16 +160,16 @@
         ("NEW", "cheap", "send"),
     ],
 )
-def test_how_an_attempt_ends_keeps_its_proof(wire, rc, product, verb):
-    """Danger: an ending taken for another would send a paid play twice."""
-    said = wire.say(20_000, SUBMIT.format("a", product, 23_000))
-    node = said[-1].split("node=")[1].split()[0]
-    said = wire.say(20_100, f"answer i=3 ticket=a lag-ms=1 final=0 trial=0 rc={rc} node={node}")
-    assert said[-1].split()[0] == verb
+def test_allocation_outcome_decides_whether_paid_play_is_sent_again(session, rc, product, verb):
+    """An outcome taken for another would set up a paid play twice."""
+    reply = session.send_batch(20_000, SUBMIT.format("a", product, 23_000))
+    node = reply[-1].split("node=")[1].split()[0]
+    reply = session.send_batch(20_100, f"answer i=3 ticket=a lag-ms=1 final=0 trial=0 rc={rc} node={node}")
+    assert reply[-1].split()[0] == verb
 
 
-def test_what_is_not_about_a_play_and_a_front_that_ends(wire):
-    said = wire.say(
+def test_other_events_and_power_off_are_handled(session):
+    reply = session.send_batch(
         20_000,
         SUBMIT.format("a", "dear", 23_000),
         "client_gone i=3 ticket=a",
@@ -180,10 +181,10 @@
         "members i=3 gen=2 how=unheard",
         "later i=3 thing=1",
     )
-    assert [line.split()[0] for line in said] == ["set_rung", "send"]
-    assert wire.host.fronts["3"].nodes["n0"].reported_load == 0.4
+    assert [line.split()[0] for line in reply] == ["set_rung", "send"]
+    assert session.host.fronts["3"].nodes["n0"].reported_load == 0.4
     assert (
-        wire.say(
+        session.send_batch(
             21_000,
             "catalog bank=1 rows-in=1",
             ROWS[0].replace("SERVING", "DELETED").replace("n0", "n1"),
@@ -192,10 +193,10 @@
         )[-1].split()[0]
         == "send"
     )
-    assert wire.host.fronts["3"].nodes["n1"].row.state == "gone"
-    assert wire.say(22_000, "power_off i=3") == [] and not wire.host.fronts
+    assert session.host.fronts["3"].nodes["n1"].row.state == "gone"
+    assert session.send_batch(22_000, "power_off i=3") == [] and not session.host.fronts
     with pytest.raises(SimulatorMessageError, match="instance 3, which is not running"):
-        wire.say(23_000, SUBMIT.format("c", "dear", 25_000))
+        session.send_batch(23_000, SUBMIT.format("c", "dear", 25_000))
 
 
 @pytest.mark.parametrize(
@@ -217,16 +218,16 @@
         ),
     ],
 )
-def test_each_answer_has_its_line(answer, line):
+def test_each_answer_becomes_its_line(answer, line):
     scripted = type(
-        "Scripted", (), {"__init__": lambda self, *facts: None, "wake": lambda self, now, label: [answer]}
+        "Scripted", (), {"__init__": lambda self, *arguments: None, "wake": lambda self, now, label: [answer]}
     )
-    wire = Wire(scripted)
-    assert wire.say(0, "born i=1 rng-seed=1 config={}", "bell i=1 label=0") == [line]
+    session = Session(scripted)
+    assert session.send_batch(0, "born i=1 rng-seed=1 config={}", "bell i=1 label=0") == [line]
 
 
 @pytest.mark.parametrize(
-    ("lines", "words"),
+    ("lines", "message"),
     [
         (["bell i=3 label=1\n"], "outside a batch"),
         (["go\n"], "outside a batch"),
@@ -245,14 +246,14 @@
         ),
     ],
 )
-def test_what_breaks_the_form_is_told_with_its_line(lines, words):
-    with pytest.raises(SimulatorMessageError, match=words):
-        Host(lambda *facts: None, io.StringIO()).run(lines)
+def test_malformed_input_raises_error_with_its_line(lines, message):
+    with pytest.raises(SimulatorMessageError, match=message):
+        Host(lambda *arguments: None, io.StringIO()).run(lines)
 
 
 @pytest.mark.parametrize(
     ("text", "value"),
     [("0", 0), ("1.25", 12), ("0.3", 3), ("2999.95", 29_999), ("99999999999.9", 999_999_999_999)],
 )
-def test_time_limits_never_grow_on_the_way(text, value):
+def test_time_limits_never_grow_in_conversion(text, value):
     assert milliseconds_to_ticks(text) == value and float(format_milliseconds(value)) <= float(text)
