--- a/tests/console/test_console.py
+++ b/tests/console/test_console.py
@@ -7,7 +7,7 @@
 
 import pytest
 from front.deployment import Deployment, until
-from loopback import Peer, looped
+from loopback import RawClient, looped
 
 from curlewhall.console import view
 from curlewhall.drills.baselines import TwoDrawn
@@ -121,7 +121,7 @@
 async def test_events_follow_the_plays_and_a_reader_that_stops_costs_nobody_else(tmp_path):
     async with watched(tmp_path, nodes=9) as place:
         where = place.plan["fronts"][0]["address"]
-        reader = await Peer.open(PORT, where)
+        reader = await RawClient.open(PORT, where)
         await reader.send(b"GET /events HTTP/1.1\r\nhost: x\r\n\r\n")
         console = place.fronts[0].console
         await until(lambda: console.streams)
--- a/tests/daemon/test_handover.py
+++ b/tests/daemon/test_handover.py
@@ -8,7 +8,7 @@
 import pytest
 from front.deployment import deployment, until
 from front.test_moves import follow
-from loopback import Peer, looped
+from loopback import RawClient, looped
 
 from curlewhall import logs
 from curlewhall.daemon.channel import LARGEST, Channel, pair
@@ -127,7 +127,7 @@
     async with deployment(tmp_path, nodes=4) as place:
         where = place.plan["fronts"][0]
         state = f"GET /v1/state HTTP/1.1\r\nhost: {where['address']}\r\n\r\n".encode()
-        peers = [await Peer.open(where["port"], where["address"]) for _ in range(count)]
+        peers = [await RawClient.open(where["port"], where["address"]) for _ in range(count)]
         for peer in peers:
             await peer.send(state)
             await peer.message()
--- a/tests/front/test_front.py
+++ b/tests/front/test_front.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 from front.deployment import Deployment, deployment, until
-from loopback import Peer, looped
+from loopback import RawClient, looped
 
 from curlewhall import logs, policy
 from curlewhall.dash import tokens
@@ -143,7 +143,7 @@
 @looped
 async def test_a_viewer_who_hangs_up_before_the_first_frame_leaves_nothing_behind(tmp_path):
     async with deployment(tmp_path, setup_ms=[5000, 5000]) as place:
-        peer = await Peer.open(place.plan["fronts"][0]["port"], place.plan["fronts"][0]["address"])
+        peer = await RawClient.open(place.plan["fronts"][0]["port"], place.plan["fronts"][0]["address"])
         await peer.send(place.request())
         await until(lambda: place.rows("setup"))
         peer.close()
--- a/tests/front/test_front_process.py
+++ b/tests/front/test_front_process.py
@@ -9,7 +9,7 @@
 
 import pytest
 from front.deployment import Deployment, until
-from loopback import Crowd, looped
+from loopback import IdleClients, looped
 
 from curlewhall.drills.fleet import settings
 from curlewhall.standins.fleet import Fleet
@@ -36,7 +36,7 @@
     file.write_text(settings(place.plan, 0))
     front = place.plan["fronts"][0]
     where = front["address"], front["port"]
-    crowd, loop = Crowd(where, IDLE[says], 3 * DESCRIPTORS), asyncio.get_running_loop()
+    crowd, loop = IdleClients(where, IDLE[says], 3 * DESCRIPTORS), asyncio.get_running_loop()
     timers, drained = Timers(loop), next(iter(fleet.nodes))
     with open(log, "wb") as out:
         process = subprocess.Popen(
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Helpers of tests that use loopback sockets: a loop for each test, raw peers and raw servers."""
+"""Helpers for tests with loopback sockets and processes: event loops, raw clients and servers, drill runs."""
 
 import asyncio
 import contextlib
@@ -15,34 +15,34 @@
 
 from curlewhall.wire import http
 
-PATIENCE = 30  # seconds after which a test that waits for what never comes is given up
+TEST_TIMEOUT_S = 30
 
 
 def looped(test):
-    """Run an async test in a loop of its own."""
+    """Decorator that runs an async test in an event loop of its own, with a time-out."""
 
     @functools.wraps(test)
-    def run(*facts, **named):
+    def run(*arguments, **named):
         async def limited():
-            async with asyncio.timeout(PATIENCE):
-                await test(*facts, **named)
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                await test(*arguments, **named)
 
         uvloop.run(limited())
 
     return run
 
 
-def poll(true, span=20):
-    """Wait until another process has done something; `span` seconds end a vain wait."""
-    until = time.monotonic() + span
-    while not (found := true()):
-        assert time.monotonic() < until, "it did not happen"
+def poll(condition, timeout_s=20):
+    """Wait until `condition()` is true and return its value; fails after `timeout_s` seconds."""
+    deadline = time.monotonic() + timeout_s
+    while not (value := condition()):
+        assert time.monotonic() < deadline, f"the condition did not hold within {timeout_s} s"
         select.select([], [], [], 0.01)
-    return found
+    return value
 
 
-class Peer:
-    """A client that says raw bytes and reads messages."""
+class RawClient:
+    """A client that sends raw bytes and reads HTTP responses."""
 
     def __init__(self, sock):
         self.sock, self.loop = sock, asyncio.get_running_loop()
@@ -60,13 +60,13 @@
 
     async def message(self):
         while not self.reader.messages:
-            got = await self.loop.sock_recv(self.sock, 65536)
-            assert got, "closed before the message was whole"
-            self.reader.feed(got)
+            data = await self.loop.sock_recv(self.sock, 65536)
+            assert data, "connection closed before the response was complete"
+            self.reader.feed(data)
         return self.reader.messages.popleft()
 
     async def closed(self):
-        """Wait for the other side to close; what it says before is passed over."""
+        """Wait until the server closes the connection, discarding what it sends before."""
         with contextlib.suppress(ConnectionError):
             while await self.loop.sock_recv(self.sock, 65536):
                 pass
@@ -77,21 +77,27 @@
         self.sock.close()
 
 
-class Crowd:
-    """Clients that connect, say little and stay; those that were closed come again at each `fill`."""
+class IdleClients:
+    """`count` clients that connect, send `data` and stay idle."""
 
-    def __init__(self, where, says, count):
-        self.where, self.says, self.count, self.clients = where, says, count, []
+    def __init__(self, address, data, count):
+        self.address = address
+        self.data = data
+        self.count = count
+        self.clients = []
 
     async def fill(self):
-        """By sixteen a turn: the stand-ins in this loop go on answering, however busy the machine is."""
+        """Replace the clients that the server has closed.
+
+        Yields to the event loop after every 16, so that the stand-ins in this loop go on answering.
+        """
         for client in [c for c in self.clients if self.ended(c)]:
             client.close()
             self.clients.remove(client)
         while len(self.clients) < self.count:
-            client = socket.create_connection(self.where)
+            client = socket.create_connection(self.address)
             client.setblocking(False)
-            client.send(self.says)
+            client.send(self.data)
             self.clients.append(client)
             if len(self.clients) % 16 == 0:
                 await asyncio.sleep(0)
@@ -111,13 +117,16 @@
 
 
 @contextlib.asynccontextmanager
-async def raw_server(said, hold=False):
-    """A server that reads something, says `said` and closes, or holds the connection."""
+async def raw_server(response, hold=False):
+    """A server that reads a few bytes, sends `response` and closes or, with `hold`, keeps the connection.
+
+    Yields its port.
+    """
 
     async def serve(reader, writer):
         with contextlib.suppress(ConnectionError):
             await reader.read(10)
-            writer.write(said)
+            writer.write(response)
             await writer.drain()
             if hold:
                 await reader.read(10_000_000)
@@ -131,22 +140,23 @@
         server.close()
 
 
-def played(calls, tmp_path_factory):
-    """Drills by name, all at once: what they wait for is time, not the processor. Code, report, what was
-    said.
+def run_drills(calls, tmp_path_factory):
+    """Run drills in parallel, since they mostly wait.
+
+    `calls` holds the arguments of each by name. Returns exit code, report and output of each by name.
     """
-    folders = {name: tmp_path_factory.mktemp("drill") for name in calls}  # one thread numbers them
+    folders = {name: tmp_path_factory.mktemp("drill") for name in calls}  # not thread-safe
 
-    def play(name):
+    def run(name):
         out = folders[name] / f"{name}.json"
-        done = subprocess.run(
+        result = subprocess.run(
             [sys.executable, "-m", "curlewhall", "drill", *calls[name], "--json", str(out)],
             capture_output=True,
             text=True,
             timeout=120,
         )
-        found = json.loads(out.read_text()) if out.exists() else {}
-        return done.returncode, found, done.stdout + done.stderr
+        report = json.loads(out.read_text()) if out.exists() else {}
+        return result.returncode, report, result.stdout + result.stderr
 
     with ThreadPoolExecutor(len(calls)) as pool:
-        return dict(zip(calls, pool.map(play, calls), strict=True))
+        return dict(zip(calls, pool.map(run, calls), strict=True))
--- a/tests/relay/test_processes.py
+++ b/tests/relay/test_processes.py
@@ -8,7 +8,7 @@
 import time
 
 import pytest
-from loopback import Crowd, looped, poll
+from loopback import IdleClients, looped, poll
 from relay.deployment import free_port, set_up
 from relay.test_relay_process import ask, config, reach, run
 
@@ -115,7 +115,7 @@
         ),
     )
     resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (sockets, sockets))
-    crowd = Crowd(("127.0.0.1", port), IDLE[says], 3 * sockets)
+    crowd = IdleClients(("127.0.0.1", port), IDLE[says], 3 * sockets)
 
     async def served(viewer):
         """Asks, the crowd coming again and again meanwhile."""
--- a/tests/sites/test_sites_drills.py
+++ b/tests/sites/test_sites_drills.py
@@ -1,7 +1,7 @@
 """Whole sites over processes: what is kept is found kept, and watches that do harm are caught."""
 
 import pytest
-from loopback import played
+from loopback import run_drills
 
 pytestmark = pytest.mark.days
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture(scope="module")
 def days(tmp_path_factory):
-    return played(CALLS, tmp_path_factory)
+    return run_drills(CALLS, tmp_path_factory)
 
 
 @pytest.mark.parametrize("name", ["return", "cut", "flap"])
--- a/tests/start/test_start_drills.py
+++ b/tests/start/test_start_drills.py
@@ -1,7 +1,7 @@
 """Drills over links: what is kept is found kept; a class that breaks a rule is caught through them too."""
 
 import pytest
-from loopback import played
+from loopback import run_drills
 
 pytestmark = pytest.mark.days
 
@@ -24,7 +24,7 @@
 
 @pytest.fixture(scope="module")
 def days(tmp_path_factory):
-    return played(CALLS, tmp_path_factory)
+    return run_drills(CALLS, tmp_path_factory)
 
 
 def test_a_fleet_that_ends_and_begins_at_once_is_sent_no_whole_list(days):
--- a/tests/start/test_start_faults.py
+++ b/tests/start/test_start_faults.py
@@ -189,7 +189,7 @@
             fleet.fault(f"link:list>{name}", "cut", 1)
         fleet.fault(f"link:{names[3]}>{names[0]}", "cut", 1)  # this one hears through others alone
         fleet.fault("n001", "drain", 1)
-        poll(lambda: all(one["list"]["version"] == 2 for one in map(state, plan["fronts"])), span=60)
+        poll(lambda: all(one["list"]["version"] == 2 for one in map(state, plan["fronts"])), timeout_s=60)
         told = [
             {n["state"] for n in state(front)["nodes"] if n["node"] == "n001"} for front in plan["fronts"]
         ]
@@ -198,7 +198,7 @@
         for name in names[1:]:
             fleet.fault(f"link:{name}>list", "cut", 0)
             fleet.fault(f"link:list>{name}", "cut", 0)
-        poll(lambda: listed(plan), span=40)
+        poll(lambda: listed(plan), timeout_s=40)
     assert wholes(written(plan), "fault") == 0  # the three were sent what they lacked, or nothing
 
 
@@ -222,7 +222,7 @@
         fleet.fault("list", "silent", 1)
         fleet.fault("list", "capacity", 1.0)
         again(fleet, names, lambda: [path.unlink() for path in kept(tmp_path)])
-        poll(lambda: listed(plan), span=40)
+        poll(lambda: listed(plan), timeout_s=40)
     rows = written(plan)
     assert sum(row["what"] == "shed" for row in rows) >= 1
 
--- a/tests/test_drills.py
+++ b/tests/test_drills.py
@@ -1,6 +1,6 @@
-"""The judge bites: classes that break a rule on purpose are caught, with the right rule named.
+"""Tests that the judge reports policies that break a rule on purpose, and names the rule.
 
-The drills run beside each other, each a fleet of processes of its own.
+The drills run in parallel, each with its own fleet of processes.
 """
 
 import json
@@ -13,49 +13,62 @@
 pytestmark = pytest.mark.days
 
 BREAKERS = {"1": "Stalls", "2": "Twice", "3": "Deaf", "4": "Rush", "5": "Under", "6": "Spender"}
-DAY = ["--seconds", "9", "--trouble", "release", "--trouble", "crash", "--trouble", "freeze_setups"]
-
-
-def command(*words):
+DRILL_ARGUMENTS = [
+    "--seconds",
+    "9",
+    "--trouble",
+    "release",
+    "--trouble",
+    "crash",
+    "--trouble",
+    "freeze_setups",
+]
+
+
+def run_command(*arguments):
     return subprocess.run(
-        [sys.executable, "-m", "curlewhall", *words], capture_output=True, text=True, timeout=120
+        [sys.executable, "-m", "curlewhall", *arguments], capture_output=True, text=True, timeout=120
     )
 
 
-def drill(folder, *more):
+def run_drill(folder, *more):
+    """Run one drill; returns its exit code, report and output."""
+    """Exit code, report and output of a drill."""
     out = folder / "result.json"
-    done = command("drill", "badday", *DAY, "--json", str(out), *more)
+    done = run_command("drill", "badday", *DRILL_ARGUMENTS, "--json", str(out), *more)
     return done.returncode, json.loads(out.read_text()) if out.exists() else {}, done.stdout + done.stderr
 
 
 @pytest.fixture(scope="module")
-def days(tmp_path_factory):
-    """All days at once: what they wait for is time, not the processor."""
-    more = {"4": ["--nodes", "28"]}  # a crowd that pushes a node over takes a larger fleet's viewers
+def drill_results(tmp_path_factory):
+    """All drills, run in parallel since they mostly wait."""
+    more = {"4": ["--nodes", "28"]}  # only a larger fleet has enough viewers to overload a node
     calls = {
         rule: ["--policy", f"curlewhall.drills.breakers:{name}", *more.get(rule, ())]
         for rule, name in BREAKERS.items()
     } | {"kept": []}
     with ThreadPoolExecutor(len(calls)) as pool:
-        jobs = {key: pool.submit(drill, tmp_path_factory.mktemp("day"), *more) for key, more in calls.items()}
+        jobs = {
+            key: pool.submit(run_drill, tmp_path_factory.mktemp("day"), *more) for key, more in calls.items()
+        }
         return {key: job.result() for key, job in jobs.items()}
 
 
 @pytest.mark.parametrize("rule", BREAKERS)
-def test_a_class_that_breaks_a_rule_is_caught(days, rule):
-    code, found, said = days[rule]
-    assert code == 1 and found["broken"].get(rule, 0) > 0, said
-    assert f"rule {rule} is broken" in said  # the first broken thing of all
+def test_policy_that_breaks_a_rule_is_reported(drill_results, rule):
+    code, report, output = drill_results[rule]
+    assert code == 1 and report["broken"].get(rule, 0) > 0, output
+    assert f"rule {rule} is broken" in output  # the first broken claim is printed
 
 
-def test_the_module_keeps_the_rules_on_the_same_day(days):
-    code, found, said = days["kept"]
-    assert code == 0, said
-    assert found["broken"] == {} and found["unanswered"] == 0 and found["plays"] > 30
+def test_decision_module_keeps_all_rules_in_the_same_drill(drill_results):
+    code, report, output = drill_results["kept"]
+    assert code == 0, output
+    assert report["broken"] == {} and report["unanswered"] == 0 and report["plays"] > 30
 
 
 @pytest.mark.parametrize(
-    ("call", "complaint"),
+    ("arguments", "message"),
     [
         (["drill", "nothing"], "no drill is called 'nothing'"),
         (["drill", "badday", "--trouble", "nothing"], "no trouble is called 'nothing'"),
@@ -67,6 +80,6 @@
         (["serve", "nowhere.textproto"], "No such file"),
     ],
 )
-def test_a_wrong_call_ends_with_2_and_says_why(call, complaint):
-    done = command(*call)
-    assert done.returncode == 2 and complaint in " ".join(done.stderr.split())
+def test_invalid_arguments_exit_with_2_and_message(arguments, message):
+    done = run_command(*arguments)
+    assert done.returncode == 2 and message in " ".join(done.stderr.split())
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""All errors of the program's own: one base, a name each, a remedy each."""
+"""Tests of the error classes: one base, and a name and a remedy of its own for each."""
 
 import ast
 import importlib
@@ -12,16 +12,16 @@
 from curlewhall.front import problems
 
 ROOT = Path(curlewhall.__file__).parent
-HEAVY = ("__main__",)  # what runs when it is imported
+RUN_ON_IMPORT = ("__main__",)
 
 
 def modules():
     for found in pkgutil.walk_packages([str(ROOT)], "curlewhall."):
-        if not found.name.endswith(HEAVY):
+        if not found.name.endswith(RUN_ON_IMPORT):
             yield importlib.import_module(found.name)
 
 
-def kinds():
+def error_classes():
     for module in modules():
         for thing in vars(module).values():
             own = isinstance(thing, type) and thing.__module__ == module.__name__
@@ -30,12 +30,12 @@
 
 
 @pytest.fixture(scope="module")
-def found():
-    return list(kinds())
+def classes():
+    return list(error_classes())
 
 
-def test_all_have_one_base_a_name_of_their_own_and_a_remedy(found):
-    ours = [kind for kind in found if kind is not errors.CurlewhallError]
+def test_each_error_class_has_base_unique_name_and_unique_remedy(classes):
+    ours = [kind for kind in classes if kind is not errors.CurlewhallError]
     assert len(ours) >= 19
     assert all(issubclass(kind, errors.CurlewhallError) for kind in ours), ours
     names = [kind.__name__ for kind in ours]
@@ -48,8 +48,8 @@
         assert 30 < len(kind.remedy) <= 160, kind
 
 
-def test_none_is_made_beside_the_base():
-    """No class in the source derives from a bare exception but the base."""
+def test_no_error_class_bypasses_the_base():
+    """No class but the base derives from a built-in exception."""
     for path in ROOT.rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.ClassDef) and node.name != "CurlewhallError":
@@ -57,14 +57,14 @@
                 assert not bases & {"Exception", "OSError", "RuntimeError"}, f"{path.name}: {node.name}"
 
 
-@pytest.mark.parametrize(("what", "lines"), [("one thing", 1), ("a\nb", 3)])
-def test_what_is_told_has_both(what, lines):
-    class Some(errors.CurlewhallError):
+@pytest.mark.parametrize(("text", "lines"), [("one thing", 1), ("a\nb", 3)])
+def test_full_message_holds_text_and_remedy(text, lines):
+    class ExampleError(errors.CurlewhallError):
         remedy = "Do that."
 
-    err = Some(what)
+    err = ExampleError(text)
     assert (
-        err.full_message.startswith(what)
+        err.full_message.startswith(text)
         and err.full_message.endswith("Do that.")
         and err.full_message.count("\n") == lines - 1
     )
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("status", problems.KINDS)
-def test_problem_documents_say_what_can_be_done(status):
+def test_problem_document_holds_remedy(status):
     import json
 
     _, _, body = problems.document(status, "this and that")
--- a/tests/test_floors.py
+++ b/tests/test_floors.py
@@ -1,4 +1,4 @@
-"""The floors: which package imports which, read from the source; no circles, nothing upwards."""
+"""Tests of the package layers, read from the source: no import cycles, no import of a higher layer."""
 
 import ast
 from pathlib import Path
@@ -8,7 +8,7 @@
 import curlewhall
 
 ROOT = Path(curlewhall.__file__).parent
-LOWEST = {"errors", "platform_names"}
+LOWEST_LAYER = {"errors", "platform_names"}
 
 
 def package(path: Path) -> str:
@@ -17,7 +17,7 @@
 
 
 def imports(path: Path):
-    """The package of each import of the project's own, those within functions too."""
+    """The package of each import from this project, also within functions."""
     tree = ast.parse(path.read_text())
     for node in ast.walk(tree):
         names = []
@@ -52,23 +52,23 @@
     return found
 
 
-def circle(graph: dict[str, set[str]], start: str) -> list[str]:
-    """A way from a package back to itself; empty where there is none."""
-    ways = [[start, there] for there in sorted(graph.get(start, ()))]
+def import_cycle(graph: dict[str, set[str]], start: str) -> list[str]:
+    """A path from a package back to itself; empty if there is none."""
+    paths = [[start, there] for there in sorted(graph.get(start, ()))]
     seen = set()
-    while ways:
-        way = ways.pop()
-        if way[-1] == start:
-            return way
-        if way[-1] not in seen:
-            seen.add(way[-1])
-            ways += [[*way, there] for there in sorted(graph.get(way[-1], ()))]
+    while paths:
+        path = paths.pop()
+        if path[-1] == start:
+            return path
+        if path[-1] not in seen:
+            seen.add(path[-1])
+            paths += [[*path, there] for there in sorted(graph.get(path[-1], ()))]
     return []
 
 
-def test_the_walk_finds_a_circle():
-    assert circle({"a": {"b"}, "b": {"c"}, "c": {"a"}}, "a") == ["a", "b", "c", "a"]
-    assert circle({"a": {"b"}, "b": {"c"}, "c": set()}, "a") == []
+def test_import_cycle_is_found():
+    assert import_cycle({"a": {"b"}, "b": {"c"}, "c": {"a"}}, "a") == ["a", "b", "c", "a"]
+    assert import_cycle({"a": {"b"}, "b": {"c"}, "c": set()}, "a") == []
 
 
 @pytest.mark.parametrize(
@@ -91,9 +91,9 @@
         "errors",
     ],
 )
-def test_no_circle(graph, name):
+def test_package_is_in_no_import_cycle(graph, name):
     assert name in graph
-    assert not circle(graph, name)
+    assert not import_cycle(graph, name)
 
 
 @pytest.mark.parametrize(
@@ -114,9 +114,9 @@
         ("relay", "settings"),
     ],
 )
-def test_never(graph, low, high):
+def test_lower_package_does_not_import_higher(graph, low, high):
     assert high not in graph[low]
 
 
-def test_the_lowest_need_nothing(graph):
-    assert all(not graph[name] for name in LOWEST)
+def test_lowest_layer_imports_nothing(graph):
+    assert all(not graph[name] for name in LOWEST_LAYER)
--- a/tests/wire/test_wire.py
+++ b/tests/wire/test_wire.py
@@ -4,7 +4,7 @@
 import socket
 
 import pytest
-from loopback import Peer, looped, raw_server
+from loopback import RawClient, looped, raw_server
 
 from curlewhall.wire import http, server
 from curlewhall.wire.client import Pool
@@ -36,7 +36,7 @@
 @looped
 async def test_pipelined_requests_are_answered_in_order_whatever_is_ready_first():
     rig = Rig()
-    peer = await Peer.open(rig.port)
+    peer = await RawClient.open(rig.port)
     await peer.send(b"".join(GET % i for i in range(3)))
     first, second, third = [await rig.asked.get() for _ in range(3)]
     third.reply(200, {}, b"C")
@@ -51,7 +51,7 @@
 @looped
 async def test_no_more_requests_are_taken_than_the_pipeline_holds():
     rig = Rig(pipeline=2)
-    peer = await Peer.open(rig.port)
+    peer = await RawClient.open(rig.port)
     await peer.send(b"".join(GET % i for i in range(2)))
     taken = [await rig.asked.get() for _ in range(2)]
     await peer.send(b"".join(GET % i for i in range(2, 4)))
@@ -63,7 +63,7 @@
 @looped
 async def test_a_reader_that_never_reads_loses_its_connection_not_our_memory():
     rig = Rig(queued=200_000)
-    peer = await Peer.open(rig.port)
+    peer = await RawClient.open(rig.port)
     await peer.send(GET % 1)
     exchange = await rig.asked.get()
     exchange.start(200, {})
@@ -77,7 +77,7 @@
 @looped
 async def test_who_hangs_up_with_an_answer_owed_is_told_of_once():
     rig = Rig()
-    peer = await Peer.open(rig.port)
+    peer = await RawClient.open(rig.port)
     await peer.send(GET % 1 + GET % 2)
     exchanges = [await rig.asked.get() for _ in range(2)]
     exchanges[0].reply(200)
@@ -91,7 +91,7 @@
 @looped
 async def test_a_refused_message_is_answered_after_what_is_owed_and_ends_the_connection():
     rig = Rig()
-    peer = await Peer.open(rig.port)
+    peer = await RawClient.open(rig.port)
     await peer.send(GET % 1 + b"GET / HTTP/1.1\r\n\r\n" + GET % 2)
     (await rig.asked.get()).reply(200)
     assert [(await peer.message()).status for _ in range(2)] == [200, 400]
@@ -102,7 +102,7 @@
 @pytest.mark.parametrize(("raw", "status"), [(b"GET / HTTP/1.1\r\nHos", 408), (b"", None)])
 async def test_half_a_request_and_none_at_all_run_out_of_time(raw, status):
     rig = Rig(read=0.05, idle=0.05)
-    peer = await Peer.open(rig.port)
+    peer = await RawClient.open(rig.port)
     await peer.send(raw)
     if status:
         assert (await peer.message()).status == status
@@ -125,10 +125,10 @@
 @looped
 async def test_connections_beyond_the_limit_are_turned_away():
     rig = Rig(connections=1)
-    one = await Peer.open(rig.port)
+    one = await RawClient.open(rig.port)
     await one.send(GET % 1)
     await rig.asked.get()
-    other = await Peer.open(rig.port)
+    other = await RawClient.open(rig.port)
     assert await other.closed() and rig.server.turned_away == 1
 
 
@@ -283,7 +283,7 @@
 async def test_who_hangs_up_with_the_pipeline_full_is_missed_at_once(how):
     """No more is read from it, and bytes lie before its end: each that is owed an answer is told."""
     rig = Rig(pipeline=2)
-    peer = await Peer.open(rig.port)
+    peer = await RawClient.open(rig.port)
     await peer.send(b"".join(GET % i for i in range(2)))
     taken = [await rig.asked.get() for _ in range(2)]
     await peer.send(GET % 2)
@@ -303,7 +303,7 @@
 async def test_whoever_has_been_idle_longest_makes_room(busy):
     """A crowd that says nothing takes no room from who asks; who is owed an answer, or is asking, stays."""
     rig = Rig(connections=4)
-    first = await Peer.open(rig.port)
+    first = await RawClient.open(rig.port)
     while not rig.server.connections:
         await asyncio.sleep(0)
     (line,) = rig.server.connections
@@ -314,8 +314,8 @@
         await first.send((GET % 0)[:20])
         while not line.half:
             await asyncio.sleep(0)
-    crowd = [await Peer.open(rig.port) for _ in range(30)]
-    later = await Peer.open(rig.port)
+    crowd = [await RawClient.open(rig.port) for _ in range(30)]
+    later = await RawClient.open(rig.port)
     await later.send(GET % 1)
     exchange = await rig.asked.get()
     assert exchange.request.target == "/1" and len(rig.server.connections) <= 4
@@ -338,7 +338,7 @@
 async def test_who_has_just_asked_does_not_make_room():
     """The request lies in the socket, unread, as room is made."""
     rig = Rig(connections=2)
-    peers = [await Peer.open(rig.port) for _ in range(2)]
+    peers = [await RawClient.open(rig.port) for _ in range(2)]
     while len(rig.server.connections) < 2:
         await asyncio.sleep(0)
     peers[0].sock.send(GET % 0)
@@ -351,7 +351,7 @@
     """All wait at the door in one turn; what is closed for them gives its descriptor back in the next."""
     rig = Rig(connections=4)
     rig.server.pause()
-    peers = [await Peer.open(rig.port) for _ in range(40)]
+    peers = [await RawClient.open(rig.port) for _ in range(40)]
     while rig.server.arrivals():
         assert len(rig.server.connections) + rig.server.closing <= 4 + server.CLOSING
         await asyncio.sleep(0)
@@ -365,7 +365,7 @@
 @looped
 async def test_a_crowd_of_half_requests_keeps_nobody_out():
     rig = Rig(connections=4)
-    crowd = [await Peer.open(rig.port) for _ in range(4)]
+    crowd = [await RawClient.open(rig.port) for _ in range(4)]
     for peer in crowd:
         await peer.send((GET % 0)[:20])
         while len(rig.server.begun) <= crowd.index(peer):
@@ -374,7 +374,7 @@
     first = next(iter(rig.server.begun))
     while first.unread():
         await asyncio.sleep(0)
-    later = await Peer.open(rig.port)
+    later = await RawClient.open(rig.port)
     await later.send(GET % 1)
     exchange = await rig.asked.get()
     exchange.reply(200)
