--- a/curlewhall/policy.py
+++ b/curlewhall/policy.py
@@ -31,9 +31,8 @@
 FULL_NODE_PAUSE_TICKS = TICKS_PER_SECOND  # about what a load report takes to change after a refusal as full
 FULL_NODE_LOADED_TICKS = 2 * TICKS_PER_SECOND  # a node that refused as full counts as loaded for so long
 FAILURE_PAUSE_TICKS = 2 * TICKS_PER_SECOND  # after a first failure; doubled up to 4 times that
-COLD_PACE_PART = (
-    0.75  # set-ups differ in work; a half came to one set-up in 3 s and declined plays needlessly
-)
+# Under 1 since set-ups differ in work; 0.5 came to one set-up in 3 s and declined plays needlessly.
+COLD_PACE_PART = 0.75
 SLICE_LOAD_THRESHOLD = 0.5  # load above which the lowest-importance product keeps to this front's slice
 FILL_LIMIT = 0.9  # part of a link or uplink to fill; the rest is kept for more important products
 
@@ -46,11 +45,11 @@
 ROOM_SEARCH_LABEL = 0  # label of the wake that searches for room; other labels belong to waiting plays
 
 SHORTAGE_VALIDITY_TICKS = 3 * TICKS_PER_SECOND  # notes of short delivery come once a second
-RACK_SHORTAGE_TICKS = 10 * TICKS_PER_SECOND
+RACK_SHORTAGE_TICKS = 10 * TICKS_PER_SECOND  # how long rungs on a rack are limited after a note
 SHORT_DELIVERY = 0.98  # delivered share under which a node is short
-SHORT_NODE_LOAD = 1.5
-SHORT_RACK_LOAD = 0.95
-FULL_LINK_LOAD = 0.95  # reports are off by a few hundredths
+SHORT_NODE_LOAD = 1.5  # the load of a node after a note of short delivery
+SHORT_RACK_LOAD = 0.95  # the least load of the unreported nodes of its rack
+FULL_LINK_LOAD = 0.95  # reported load of a full link; reports are off by a few hundredths
 STEP_UP_PAUSE_TICKS = 10 * TICKS_PER_SECOND
 STEP_DOWN_PAUSE_TICKS = 2 * TICKS_PER_SECOND
 RUNG_SWAP_PAUSE_TICKS = 5 * TICKS_PER_SECOND
@@ -522,7 +521,7 @@
             node.connection_lost = True
             node.cold_since = now
 
-    def is_suspect(self, now: int, node: Node, play: Play) -> bool:
+    def is_suspect(self, now: int, node: Node, play: Play):
         """Whether set-ups at a node failed lately, or one is pending for far longer than set-ups take."""
         setting_up = [p for p in node.plays.values() if not p.answered]
         late = any(now - p.allocations[-1].sent_at > self.allocation_timeout(p) // 2 for p in setting_up)
