--- a/curlewhall/moves/decide.py
+++ b/curlewhall/moves/decide.py
@@ -20,7 +20,7 @@
 from collections import deque
 from typing import NamedTuple
 
-from curlewhall.policy import Changes
+from curlewhall.policy import WindowedSum
 
 from .heap import IndexedHeap
 
@@ -113,7 +113,7 @@
     def __init__(self) -> None:
         self.reported_load = 0.0  # demand divided by capacity
         self.reported_at = -REPORT_MAX_AGE_TICKS * 9  # no report yet
-        self.placed = Changes(2 * REPORT_MAX_AGE_TICKS)  # kB/s
+        self.placed = WindowedSum(2 * REPORT_MAX_AGE_TICKS)  # kB/s
 
 
 class Mover:
@@ -440,7 +440,7 @@
         for estimate, capacity in ((self.node_loads[node], info.link), (self.rack_loads[info.rack], uplink)):
             # The other fronts are assumed to have placed as much as this one since the report.
             since = max(estimate.reported_at, now - 2 * REPORT_MAX_AGE_TICKS)
-            placed = max(0.0, estimate.placed.since(since)) * self.start_settings["fronts"]
+            placed = max(0.0, estimate.placed.sum_since(since)) * self.start_settings["fronts"]
             load = (
                 estimate.reported_load
                 if now - estimate.reported_at <= REPORT_MAX_AGE_TICKS
--- a/tests/daemon/test_handover.py
+++ b/tests/daemon/test_handover.py
@@ -8,7 +8,7 @@
 import pytest
 from front.deployment import deployment, until
 from front.test_moves import follow
-from loopback import Peer, looped
+from loopback import RawClient, looped
 
 from curlewhall import logs
 from curlewhall.daemon.channel import LARGEST, Channel, pair
@@ -74,8 +74,8 @@
         front = exchange.new
         assert len(front.driver.plays) == 6 and front.driver.counts["played"] == 6
         assert len(front.driver.module.plays) == 6
-        known = [node.cold_from for node in front.driver.module.nodes.values()]
-        old = [node.cold_from for node in exchange.old.driver.module.nodes.values()]
+        known = [node.cold_since for node in front.driver.module.nodes.values()]
+        old = [node.cold_since for node in exchange.old.driver.module.nodes.values()]
         assert all(new <= before for new, before in zip(known, old, strict=True))  # none is taken for cold
         assert len(front.driver.play_store.state.playing) == 6
         assert (await place.segment(plans[0][1], 2)).status == 200
@@ -127,7 +127,7 @@
     async with deployment(tmp_path, nodes=4) as place:
         where = place.plan["fronts"][0]
         state = f"GET /v1/state HTTP/1.1\r\nhost: {where['address']}\r\n\r\n".encode()
-        peers = [await Peer.open(where["port"], where["address"]) for _ in range(count)]
+        peers = [await RawClient.open(where["port"], where["address"]) for _ in range(count)]
         for peer in peers:
             await peer.send(state)
             await peer.message()
--- a/tests/recovery/test_kept.py
+++ b/tests/recovery/test_kept.py
@@ -104,7 +104,9 @@
         front = await place.front()
         await until(lambda: front.driver.counts["resumed"] == 24)
         nodes, now = front.driver.module.nodes.values(), front.driver.clock.now()
-        is_warm = {now - node.cold_from >= front.driver.start_settings["rules.warm_within"] for node in nodes}
+        is_warm = {
+            now - node.cold_since >= front.driver.start_settings["rules.warm_within"] for node in nodes
+        }
         assert is_warm == {bool(age_ms)}
         answers = await asyncio.gather(*[place.ask(viewer=f"w{i}", top=0) for i in range(60)])
         assert not age_ms or all(message.status == 200 for message, _ in answers)
