--- a/curlewhall/codecs/__init__.py
+++ b/curlewhall/codecs/__init__.py
@@ -1,3 +1,4 @@
-"""The platform's two languages, as bytes: what viewers speak, and RTSP to nodes. No I/O; below `relay/` and
-the stand-ins, which both read and write them.
+"""Encoders and decoders of the platform's two protocols: the viewers' binary messages, and RTSP to nodes.
+
+No I/O. The relay and the stand-ins both use them; they depend on nothing else of the program.
 """
--- a/curlewhall/codecs/reader.py
+++ b/curlewhall/codecs/reader.py
@@ -1,26 +1,31 @@
-"""What both codecs share: bytes are collected until a message is whole, or can't be one. No I/O, no clock."""
+"""The base of both decoders: collects bytes until a message is complete or invalid. No I/O, no clock."""
 
 
-class Reader:
-    """Collects messages from fed bytes. `why` tells what can't be read; nothing is taken after that."""
+class MessageReader:
+    """Decodes a byte stream into messages. `error` says why the stream is invalid; nothing is decoded after
+    that.
+    """
 
-    __slots__ = ("data", "why")
+    __slots__ = ("buffer", "error")
 
     def __init__(self) -> None:
-        self.data, self.why = bytearray(), ""
+        self.buffer = bytearray()
+        self.error = ""
 
     def feed(self, piece: bytes) -> list:
-        """The messages that are whole by now."""
+        """Append received bytes and return the messages that are complete by now."""
         found: list = []
-        if self.why:
+        if self.error:
             return found
-        self.data += piece
-        while (message := self.next()) is not None:
+        self.buffer += piece
+        while (message := self.next_message()) is not None:
             found.append(message)
-        if self.why:
-            self.data = bytearray()
+        if self.error:
+            self.buffer = bytearray()
         return found
 
-    def next(self):
-        """Take the next message off `data`; None for a need for more, or, with `why` set, a refusal."""
+    def next_message(self):
+        """Remove the next message from `buffer` and return it. None if it is incomplete, or, with `error`
+        set, invalid.
+        """
         raise NotImplementedError
--- a/curlewhall/relay/__main__.py
+++ b/curlewhall/relay/__main__.py
@@ -3,7 +3,8 @@
 import signal
 import sys
 
-# Danger: a signal that comes while the program is loaded would end it. They wait until they can be heard.
+# A signal that arrives during the imports would end the process. Blocked, it stays pending until `serve` has
+# installed its handlers.
 signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP, signal.SIGTERM, signal.SIGINT))
 
 from curlewhall.relay.serve import main  # noqa: E402
--- a/curlewhall/relay/decide.py
+++ b/curlewhall/relay/decide.py
@@ -1,109 +1,131 @@
-"""When a front asks again: for a channel that broke off or moved, at nodes that have gone silent. No I/O.
+"""Delays and timeouts of a relay: when to reconnect to the channel and to nodes, and when to give up on
+silence.
 
-Hundreds of fronts lose the same thing in the same moment. Each draws its waits from its own seed, so that
-they do not come back in step; each wait ends before it can cost a rule. Times are seconds; no clock is read.
+Hundreds of fronts lose the same channel or node in the same moment. Each draws its delays from its own seed,
+so that they do not reconnect in step, and each delay ends in time for the rules on drains and releases. Times
+are seconds. No I/O; no clock is read.
 """
 
 from curlewhall.start.decide import Draw, Waits, span
 
-MOST = 0.4  # the longest wait for the channel; a break counts as told after 2 s, and five asks fit in
-SILENT = 1.6  # seconds without a word until a watch is taken for stopped: a comment comes each second
-FIRST = 0.7  # the same for the first word of one that has just been asked for, its connection included
-STEADY = 1.0  # a stream that told something for so long was sound: its end is no try that failed
-APART, LONGEST = 0.005, 1.0  # a front's part of the span over which a fleet moves to a new channel; at most
-WAY_IN, IN_ALL = 0.01, 2.0  # the same for connections to nodes at which sessions were found; at most
-KNOWN = 8.0  # what ended unheard has to be told to its viewer by then
-SPARE = 0.5  # of it, for a busy core and the way to the viewer
-COMING = 0.75  # seconds after SIGTERM in which set-ups may come, 0.6 by the page, and are decided as ever
-LONGEST_LIMIT, TO_KILL = 3.0, 0.7  # the page's
-BEFORE_KILL = 0.3  # the last answers have a way to go, and a busy core hears of SIGTERM late
-DOUBTED = 3.0  # how long a node may be silent where a machine may have vanished
-
-
-class Returns:
-    """The waits of one front before it asks the channel again.
-
-    Danger: what the channel holds counts as told to a front that is away, and a drain's grace runs. The
-    first wait takes half of the grace at most: the other half is the connection's and the event's. Further
-    ones grow to three times the one before (decorrelated jitter), up to `MOST`: then the channel is down, and
-    hundreds that come back in step are what it least needs.
+MAX_CHANNEL_DELAY_S = 0.4  # changes count as known to a front 2 s after a break: time for five attempts
+STREAM_SILENCE_S = 1.6  # a silent event stream is taken for dead; the channel sends a comment each second
+FIRST_EVENT_S = 0.7  # the same until the first bytes of a new stream, the connection included
+STABLE_STREAM_S = 1.0  # a stream that carried data for so long was sound: its end starts the backoff anew
+SWITCH_S_PER_FRONT = 0.005  # the span over which a fleet moves to a new channel grows by this per front
+MAX_SWITCH_S = 1.0
+NODE_CONNECT_S_PER_FRONT = 0.01  # the same for connections to nodes at which sessions were found
+MAX_NODE_CONNECT_S = 2.0
+SESSION_END_DEADLINE_S = 8.0  # a viewer must be told within this time that its session has ended
+DELIVERY_MARGIN_S = 0.5  # part of the deadline, for a busy core and the way to the viewer
+ACCEPT_AFTER_TERM_S = 0.75  # set-ups may come for 0.6 s after SIGTERM by the page, and are decided as usual
+MAX_COUNTED_TIME_LIMIT_S = 3.0  # by the page: the kill waits for the longest time limit, at most this
+KILL_AFTER_TIME_LIMIT_S = 0.7  # by the page
+KILL_MARGIN_S = 0.3  # for the way of the last answers, and for a busy core that handles SIGTERM late
+SUSPECT_SILENCE_S = 3.0  # silence allowed to a node in a zone where a machine may have vanished
+
+
+class ChannelBackoff:
+    """Delays of one front before it reconnects to the channel.
+
+    The channel's changes count as known to a front that is away, and a drain's grace runs. So the first
+    delay takes at most half of the grace and leaves the other half to the connection and the event. Further
+    ones grow to at most three times the one before (decorrelated jitter), up to `MAX_CHANNEL_DELAY_S`: then
+    the channel is down, and hundreds of fronts that reconnect in step would keep it down.
     """
 
     def __init__(self, seed: int, grace: float, fronts: int) -> None:
-        self.draw, self.span = Draw(seed, "channel"), span(APART, fronts, LONGEST)
-        least = max(0.001, min(MOST, 0.1 * grace))
-        self.unheard = 0  # asks in a row that came to nothing
-        self.waits = Waits(self.draw, least, max(least, min(MOST, 0.5 * grace)), MOST)
-
-    def broken(self, told_for: float) -> float:
-        """The wait after a stream that told something for so long, 0 for an ask that came to nothing."""
-        self.unheard = 0 if told_for else self.unheard + 1
-        if told_for >= STEADY:
+        """`grace`: the drain grace in seconds; `fronts`: the size of the fleet."""
+        self.draw = Draw(seed, "channel")
+        self.span = span(SWITCH_S_PER_FRONT, fronts, MAX_SWITCH_S)
+        least = max(0.001, min(MAX_CHANNEL_DELAY_S, 0.1 * grace))
+        self.silent_attempts = 0  # attempts in a row in which the channel sent nothing
+        self.waits = Waits(
+            self.draw, least, max(least, min(MAX_CHANNEL_DELAY_S, 0.5 * grace)), MAX_CHANNEL_DELAY_S
+        )
+
+    def stream_ended(self, streamed_s: float) -> float:
+        """The delay after a stream that carried data for `streamed_s` seconds, 0 for a failed attempt."""
+        self.silent_attempts = 0 if streamed_s else self.silent_attempts + 1
+        if streamed_s >= STABLE_STREAM_S:
             self.waits.anew()
         return self.waits.next()
 
-    def heard(self) -> None:
-        """An event came: the next break is a new one."""
+    def event_received(self) -> None:
+        """Start the backoff anew: the next break is a new one."""
         self.waits.anew()
 
-    def patience(self, spoken: bool) -> float:
-        """How long a watch may say nothing.
+    def silence_timeout(self, receiving: bool) -> float:
+        """Seconds of silence after which the stream is dropped; `receiving`: it has carried data already.
 
-        Danger: what it would tell counts as told 4 s after it fell silent, so a second one that is silent too
-        must be seen to be so before the time is over: 1.6 + 0.7 and two waits. Yet a channel on which a whole
-        fleet has just come back may be slow to speak: who asks once more leaves it the longer time.
+        Changes count as known to the front 4 s after its stream fell silent, so a second silent stream in a
+        row must be noticed within that time: 1.6 + 0.7 s and two delays. From then on the longer timeout
+        holds, since a channel to which a whole fleet has just reconnected may be slow to answer.
         """
-        return FIRST if not spoken and self.unheard < 1 else SILENT
+        return FIRST_EVENT_S if not receiving and self.silent_attempts < 1 else STREAM_SILENCE_S
 
-    def moved(self) -> float:
-        """The wait after a new configuration, which all fronts get at once: 4 s are allowed."""
+    def switch_delay(self) -> float:
+        """The delay after a new configuration, which all fronts get at once: 4 s are allowed."""
         return self.draw.between(0.0, self.span)
 
 
-class Silences:
-    """How long a node with sessions may say nothing until a new connection shows whether it lives.
+class SilenceTimeouts:
+    """How long a node with sessions may be silent until a new connection tests whether it is alive.
 
-    Danger: a machine that vanished says nothing, and what stood there has to be told within `KNOWN`; yet
-    200 fronts with a dozen such nodes each open most of all connections for this alone. So the wait is as
-    long as `sure` attempts, each seen by the next look, leave room for; `DOUBTED` in a zone where something
-    pointed to a vanished machine of late, since a zone is lost as a whole.
+    A machine that vanished sends nothing, and its viewers must be told within `SESSION_END_DEADLINE_S`. But
+    200 fronts with a dozen silent nodes each would open most of all connections for this alone. So the usual
+    timeout is the longest that leaves time for `attempts` connects, each noticed by the next check. It is
+    `SUSPECT_SILENCE_S` in a zone where something pointed to a vanished machine of late, since zones are lost
+    as a whole.
     """
 
-    def __init__(self, look: float, sure: int, connect: float) -> None:
-        self.usual = max(0.1, KNOWN - SPARE - sure * (look + connect))
-        self.doubted = min(DOUBTED, self.usual)
-        self.seen: dict[str, float] = {}
+    def __init__(self, check_interval: float, attempts: int, connect_timeout: float) -> None:
+        self.usual = max(
+            0.1, SESSION_END_DEADLINE_S - DELIVERY_MARGIN_S - attempts * (check_interval + connect_timeout)
+        )
+        self.suspect = min(SUSPECT_SILENCE_S, self.usual)
+        self.suspected_at: dict[str, float] = {}
 
-    def doubt(self, zone: str, now: float) -> None:
-        """A connection did not come up there, or a set-up had no answer."""
-        self.seen[zone] = now
+    def suspect_zone(self, zone: str, now: float) -> None:
+        """Note that a connection to a node there did not come up, or that a set-up had no answer."""
+        self.suspected_at[zone] = now
 
     def allowed(self, zone: str, now: float) -> float:
-        return self.doubted if now - self.seen.get(zone, -KNOWN) < KNOWN else self.usual
+        """The silence allowed to a node of this zone, in seconds."""
+        return (
+            self.suspect
+            if now - self.suspected_at.get(zone, -SESSION_END_DEADLINE_S) < SESSION_END_DEADLINE_S
+            else self.usual
+        )
 
 
-class WaysIn:
-    """The waits until a young front has a connection to each node at which sessions were found."""
+class NodeConnectDelays:
+    """Delays of a front that has just started before it connects to each node with sessions of before."""
 
     def __init__(self, seed: int, fronts: int) -> None:
-        self.draw, self.span = Draw(seed, "way in"), span(WAY_IN, fronts, IN_ALL)
+        self.draw = Draw(seed, "way in")
+        self.span = span(NODE_CONNECT_S_PER_FRONT, fronts, MAX_NODE_CONNECT_S)
 
-    def wait(self) -> float:
-        """Danger: a fleet that starts at once meets each node with all its fronts in one moment. What ends
-        meanwhile is told on the connection that opens, well within `KNOWN`."""
+    def next(self) -> float:
+        """A delay in seconds. Without it all fronts of a fleet that starts at once would connect to a node in
+        one moment. Nodes report sessions that end meanwhile on the new connection, well within
+        `SESSION_END_DEADLINE_S`.
+        """
         return self.draw.between(0.0, self.span)
 
 
-class Leaving:
-    """What a front that is asked to leave does when, in seconds from SIGTERM.
+class ShutdownSchedule:
+    """When a front that got SIGTERM does what, in seconds from the signal.
 
-    Set-ups come for 0.6 s: for 0.4 on new connections, for 0.2 more on open ones. Until `refuses` they are
-    decided as ever. After it they are refused, which does no harm, and connections are closed as nothing is
-    owed on them. The kill comes `TO_KILL` after the longest time limit, which counts as `LONGEST_LIMIT` at
-    most: a play whose time limit is longer may still be out. So at `ends` whatever was taken has its answer.
+    Set-ups come for 0.6 s: for 0.4 on new connections, for 0.2 more on open ones. Until `refuse_after` they
+    are decided as usual. Then they are refused, which does no harm, and connections are closed as nothing is
+    owed on them. The kill comes `KILL_AFTER_TIME_LIMIT_S` after the longest time limit, which counts as
+    `MAX_COUNTED_TIME_LIMIT_S` at most: a play with a longer time limit may still be out. So at `end_after`
+    every accepted set-up has its answer.
     """
 
     def __init__(self, longest: float) -> None:
-        kill = min(longest, LONGEST_LIMIT) + TO_KILL
-        self.refuses = COMING
-        self.ends = max(COMING + 0.1, kill - BEFORE_KILL)
+        """`longest`: the longest time limit of the products, in seconds."""
+        kill = min(longest, MAX_COUNTED_TIME_LIMIT_S) + KILL_AFTER_TIME_LIMIT_S
+        self.refuse_after = ACCEPT_AFTER_TERM_S
+        self.end_after = max(ACCEPT_AFTER_TERM_S + 0.1, kill - KILL_MARGIN_S)
--- a/curlewhall/relay/nodes.py
+++ b/curlewhall/relay/nodes.py
@@ -1,40 +1,52 @@
-"""Nodes' side: connections to each playout node, set-ups out on them, reports, the sessions that stand there.
+"""Nodes' side: the connections to playout nodes, set-ups sent over them, load reports, and the sessions
+there.
 
-A node is known by its id: another may come to stand at the address of one that is gone. A connection holds
-one open set-up where there is room for that, so that one that is spoilt or reset costs no other.
+A node is known by its id: another may take over the address of one that is gone. A connection carries one
+open set-up as long as further connections may be opened, so that a corrupt answer or a reset costs no other.
+The `CSeq` of a request, which its response repeats, is 1 for SETUP, 2 for TEARDOWN, 3 for OPTIONS (a probe)
+and 4 for SET_PARAMETER.
 """
 
 import time
+from asyncio import AbstractEventLoop
 
 from curlewhall.codecs import rtsp
 from curlewhall.front.driver import TICKS_PER_SECOND, ActivePlay, Driver
 from curlewhall.interface import NodeRow
 from curlewhall.platform_names import parse_load_report
+from curlewhall.wire.timers import Timers
 from curlewhall.wire.transport import Transport, connect
 
-from .decide import Silences, WaysIn
-
-PROBE = 0.25  # seconds for a report; several times what a sound node takes
-QUIET = 3.0  # seconds without a word from a node, two attempts failed, until its sessions are taken for over
-SURE = 2  # attempts in a row to reach a node that must fail before its sessions are taken for ended
-PAUSES = (0.1, 0.5, 1.0)  # before it is tried again
-WAIT = 0.5  # seconds for last words of a node that the list calls gone
-LOOK = 0.5
-MOVED = 0.5  # seconds for the end of a session that was moved, which comes from its node by itself
-EACH = 8  # connections to one node at most; set-ups out at one node at a time are fewer by far
-UNSAID = 64  # messages kept for a node that is out of reach
-SPENT = 256  # set-ups that failed on a connection until it gets no more: far more than fail in its usual life
-TORN = 0.05  # seconds in which the rest of an answer comes, once it has begun
-NOTES = {"got": "delivered", "level": "rung", "port": "link_asked", "spine": "uplink_asked"}
-REFUSALS = {453: "full", 454: "not_sent", 504: "broken"}  # else: an error
-ENDS = {16: "ok", 31: "withdrawn"}  # else: broken
-CUT, LOST = 31, 41  # causes: ended by a front; broken off
-WAITING, SENT, SETTLED = "waiting", "sent", "settled"
+from .decide import NodeConnectDelays, SilenceTimeouts
+from .null_objects import Log
+
+PROBE_TIMEOUT_S = 0.25  # several times what a sound node takes
+NODE_SILENCE_S = 3.0  # a connection silent for so long may be dead, though it is open
+FAILED_CONNECTS_UNTIL_LOST = 2  # in a row, until a node's sessions are taken for ended
+RECONNECT_DELAYS_S = (0.1, 0.5, 1.0)  # after the first, the second and any further failed connect
+REMOVAL_DELAY_S = 0.5  # for the last messages of a node that the list calls gone
+CHECK_INTERVAL_S = 0.5
+MOVED_SESSION_TIMEOUT_S = 0.5  # for the end of a moved session, which its node reports by itself
+MAX_CONNECTIONS_PER_NODE = 8  # set-ups out at one node at a time are fewer by far
+MAX_QUEUED_MESSAGES = 64  # for a node that is out of reach
+MAX_FAILED_SETUPS = 256  # on a connection until it gets no more: far more than fail in its usual life
+PARTIAL_ANSWER_S = 0.05  # in which the rest of an answer comes, once it has begun
+NOTE_KINDS = {"got": "delivered", "level": "rung", "port": "link_asked", "spine": "uplink_asked"}
+ENDING_BY_STATUS = {453: "full", 454: "not_sent", 504: "broken"}  # of refused set-ups; any other: "error"
+# release causes (ITU-T Q.850)
+NORMAL_CLEARING = 16
+ENDED_BY_FRONT = 31
+TEMPORARY_FAILURE = 41
+ENDING_BY_CAUSE = {NORMAL_CLEARING: "ok", ENDED_BY_FRONT: "withdrawn"}  # of sessions; any other: "broken"
+# states of a `SetUp`
+WAITING = "waiting"
+SENT = "sent"
+SETTLED = "settled"
 
 
 class SetUp:
     """A set-up on its way to a node. Its states: `WAITING` for a connection, or for the end of an earlier one
-    of the same play there; `SENT`; `SETTLED`, once, in one of the endings of `curlewhall.interface`.
+    of the same play there; `SENT`; `SETTLED`, once, with one of the endings of `curlewhall.interface`.
     """
 
     __slots__ = (
@@ -44,30 +56,33 @@
         "number",
         "connection",
         "state",
-        "began",
-        "span",
-        "limit",
-        "stamp",
-        "tries",
+        "started_at",
+        "time_limit_s",
+        "timer",
+        "node_identity",
+        "retries",
         "waited",
     )
 
     def __init__(
-        self, nodes: "Nodes", node: "Node", active_play: ActivePlay, number: int, span: float
+        self, nodes: "Nodes", node: "Node", active_play: ActivePlay, number: int, time_limit_s: float
     ) -> None:
-        self.nodes, self.node, self.active_play, self.number, self.span = (
-            nodes,
-            node,
-            active_play,
-            number,
-            span,
-        )
-        self.began, self.connection, self.state, self.tries = time.monotonic(), None, WAITING, 0
-        self.stamp, self.waited = node.stamp, False
-        self.limit = nodes.timers.after(span, self.stop, "late")
+        self.nodes = nodes
+        self.node = node
+        self.active_play = active_play
+        self.number = number
+        self.time_limit_s = time_limit_s
+        self.started_at = time.monotonic()
+        self.connection: Connection | None = None
+        self.state = WAITING
+        self.retries = 0
+        self.node_identity = node.identity
+        self.waited = False  # it could not be sent at once
+        self.timer = nodes.timers.after(time_limit_s, self.stop, "late")
 
     @property
     def play(self) -> str:
+        """The play's id, which is also the session's."""
         return self.active_play.info.play
 
     def withdraw(self) -> None:
@@ -75,27 +90,33 @@
         self.stop("withdrawn")
 
     def stop(self, how: str) -> None:
+        """End it: as `how` if it was sent, else as "not_sent"."""
         if self.state == SETTLED:
             return
         connection, sent = self.connection, self.state == SENT
         if sent:
-            self.nodes.give_up(self)
+            self.nodes.abandon_set_up(self)
         self.settle(how if sent else "not_sent", {})
-        if sent and connection.reader.data and time.monotonic() - connection.heard > TORN:
-            # Danger: an answer that broke off would be gone on with by the next one.
+        if (
+            sent
+            and connection.reader.buffer
+            and time.monotonic() - connection.last_received > PARTIAL_ANSWER_S
+        ):
+            # The answer broke off in the middle: the next message would be read as the rest of it.
             connection.transport.end("spoilt")
 
     def settle(self, how: str, report: dict) -> None:
+        """Tell the driver how it ended. Further calls do nothing."""
         if self.state == SETTLED:
             return
         sent, self.state = self.state == SENT, SETTLED
-        self.limit.cancel()
+        self.timer.cancel()
         if how == "late":
-            self.nodes.silences.doubt(self.node.row.zone, time.monotonic())
+            self.nodes.silence_timeouts.suspect_zone(self.node.row.zone, time.monotonic())
         if self.connection is not None:
-            self.connection.released(self.play, sent and how != "ok")
+            self.connection.set_up_ended(self.play, sent and how != "ok")
         self.nodes.driver.allocation_ended(
-            self.active_play, self.number, self.node.id, how, time.monotonic() - self.began, report
+            self.active_play, self.number, self.node.id, how, time.monotonic() - self.started_at, report
         )
 
 
@@ -107,87 +128,116 @@
         "node",
         "reader",
         "set_ups",
-        "spent",
+        "failed_plays",
         "probes",
-        "heard",
-        "used",
-        "tired",
-        "limit",
+        "last_received",
+        "last_used",
+        "retiring",
+        "connect_timer",
     )
 
     def __init__(self, node: "Node") -> None:
-        self.node, self.reader = node, rtsp.Reader()
+        self.node = node
+        self.reader = rtsp.Reader()
         self.set_ups: dict[str, SetUp] = {}  # open on it, or waiting for it to come up
-        self.spent: dict[str, bool] = {}  # plays whose set-ups failed here -> given up: an answer may cross
-        self.probes: dict[str, float] = {}
-        self.heard = self.used = time.monotonic()
-        self.tired, self.limit, self.transport = False, None, None  # tired: gets no set-up any more
+        # plays whose set-ups failed here -> whether it was abandoned, so that an answer may still come
+        self.failed_plays: dict[str, bool] = {}
+        self.probes: dict[str, float] = {}  # session of the probe -> when it was asked for
+        self.last_received = self.last_used = time.monotonic()
+        self.retiring = False  # it gets no more set-ups, and is closed once it is idle
+        self.connect_timer = None
+        self.transport = None
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is waited for on it."""
+        """Whether no answer is waited for on it."""
         return not self.set_ups and not self.probes
 
-    def takes(self, play: str) -> bool:
-        """Whether a set-up of this play may go out on it.
+    def accepts(self, play: str) -> bool:
+        """Whether a set-up of this play may be sent on it.
 
-        Danger: an answer names session and `CSeq` alone. A late copy of the answer to an earlier set-up of
-        the play would be taken for that to the next; one that broke off would be gone on with.
+        An answer names session and `CSeq` alone. On a connection with a failed set-up of the same play, a
+        late copy of its answer would be taken for that of the new one; after a partial message, the new
+        answer would be read as the rest of it.
         """
-        return not self.tired and play not in self.spent and not self.reader.data
+        return not self.retiring and play not in self.failed_plays and not self.reader.buffer
 
-    def released(self, play: str, failed: bool) -> None:
-        """A set-up is over here."""
+    def set_up_ended(self, play: str, failed: bool) -> None:
+        """Remove a set-up; after one that failed here, `accepts` refuses its play."""
         self.set_ups.pop(play, None)
-        self.used = time.monotonic()
+        self.last_used = time.monotonic()
         if failed:
-            self.spent.setdefault(play, False)
-            self.tired = self.tired or len(self.spent) > SPENT
+            self.failed_plays.setdefault(play, False)
+            self.retiring = self.retiring or len(self.failed_plays) > MAX_FAILED_SETUPS
 
 
 class Node:
     """One listed node."""
 
     def __init__(self, row: NodeRow, address: tuple[str, int]) -> None:
-        self.id, self.row, self.address = row.node, row, address
+        self.id = row.node
+        self.row = row
+        self.address = address
         self.connections: list[Connection] = []
-        self.standing: dict[str, int] = {}  # session -> when it began, on the module's clock
-        self.moved: dict[str, object] = {}  # session moved -> when it is cut, if nothing was heard of its end
-        self.unsaid: list[bytes] = []
-        self.ending: dict[str, tuple[int, float]] = {}  # session -> TEARDOWNs not heard of; the last
-        self.behind: dict[str, SetUp] = {}  # session -> a set-up that waits for them
-        self.missed, self.pause, self.heard = 0, None, time.monotonic()
+        self.sessions: dict[str, int] = {}  # session -> when it began, on the module's clock
+        self.moved_sessions: dict[str, object] = {}  # session -> the timer that ends it, see `move_timed_out`
+        self.queued_messages: list[bytes] = []  # for the next connection
+        # session -> how many TEARDOWNs are not acknowledged, and when the last was sent
+        self.pending_teardowns: dict[str, tuple[int, float]] = {}
+        self.waiting_set_ups: dict[str, SetUp] = {}  # session -> a set-up that waits for these TEARDOWNs
+        self.failed_connects = 0  # in a row
+        self.reconnect_timer = None
+        self.last_received = time.monotonic()
 
     @property
-    def stamp(self) -> tuple:
-        """What must be as it was while a set-up waits: a drain may be told, or a process start anew."""
+    def identity(self) -> tuple:
+        """What must not change while a set-up waits: the list may tell of a drain or a new start."""
         return self.row.state, self.row.started, self.address
 
     def open_connections(self) -> list[Connection]:
-        """Those that are up and trusted, the latest heard of first."""
-        sound = (c for c in self.connections if c.transport.open and not c.tired)
-        return sorted(sound, key=lambda c: -c.heard)
+        """Those that are up and not retiring, the one that received last first."""
+        sound = (c for c in self.connections if c.transport.open and not c.retiring)
+        return sorted(sound, key=lambda c: -c.last_received)
 
 
 class Nodes:
-    """All nodes, and all connections to them: `most` at once."""
+    """All nodes, and all connections to them, at most `max_connections` at once; called by the driver."""
 
-    def __init__(self, driver: Driver, loop, timers, most: int, log, seed: int) -> None:
-        self.driver, self.loop, self.timers, self.most, self.log = driver, loop, timers, most, log
+    def __init__(
+        self,
+        driver: Driver,
+        loop: AbstractEventLoop,
+        timers: Timers,
+        max_connections: int,
+        log: Log,
+        seed: int,
+    ) -> None:
+        self.driver = driver
+        self.loop = loop
+        self.timers = timers
+        self.max_connections = max_connections
+        self.log = log
         self.nodes: dict[str, Node] = {}
         self.connections: dict[Transport, Connection] = {}
-        self.connect_limit = driver.start_settings["permissions.connect_timeout"] / TICKS_PER_SECOND
-        self.streams = max(1, int(driver.start_settings.get("permissions.streams_per_conn", 1)))
-        self.probes, self.seed = 0, seed & 0xFFFFFFFF
+        self.connect_timeout_s = driver.start_settings["permissions.connect_timeout"] / TICKS_PER_SECOND
+        self.streams_per_connection = max(
+            1, int(driver.start_settings.get("permissions.streams_per_conn", 1))
+        )
+        self.probe_count = 0
+        self.seed = seed & 0xFFFFFFFF
         self.closed = False
-        self.silences = Silences(LOOK, SURE, self.connect_limit)
-        self.ways_in = WaysIn(seed, driver.start_settings.get("fronts", 1))
-        timers.after(LOOK, self.look)
+        self.silence_timeouts = SilenceTimeouts(
+            CHECK_INTERVAL_S, FAILED_CONNECTS_UNTIL_LOST, self.connect_timeout_s
+        )
+        self.connect_delays = NodeConnectDelays(seed, driver.start_settings.get("fronts", 1))
+        timers.after(CHECK_INTERVAL_S, self.check_connections)
 
     # ---- the list
 
-    def listed(self, rows: list[tuple[NodeRow, tuple[str, int]]], whole: bool) -> None:
-        """Follow the list, before the module is told of it."""
+    def update_list(self, rows: list[tuple[NodeRow, tuple[str, int]]], whole: bool) -> None:
+        """Follow the node list, before the module is told of it. `whole`: nodes that it doesn't name are
+        gone.
+        """
         named = set()
         for row, address in rows:
             named.add(row.node)
@@ -198,229 +248,267 @@
                 continue
             old, node.row = node.row, row
             if row.started > old.started:
-                # Danger: sessions of the process before are over, and no release tells of it.
-                for play in [p for p, began in node.standing.items() if began < row.started]:
-                    self.over(node, play, "broken", LOST)
+                # Sessions of the process before are over, and no release comes for them.
+                for play in [p for p, began in node.sessions.items() if began < row.started]:
+                    self.session_ended(node, play, "broken", TEMPORARY_FAILURE)
             if address != node.address:
                 node.address = address
-                self.shut(node)
+                self.reset_connections(node)
             if row.state == "gone" != old.state:
-                self.timers.after(WAIT, self.left, node)
+                self.timers.after(REMOVAL_DELAY_S, self.remove_node, node)
         for node in [n for n in self.nodes.values() if whole and n.id not in named and n.row.state != "gone"]:
             node.row = node.row._replace(state="gone")
-            self.timers.after(WAIT, self.left, node)
+            self.timers.after(REMOVAL_DELAY_S, self.remove_node, node)
 
-    def left(self, node: Node) -> None:
-        """A node is gone and has had time for its last words."""
-        if self.lists(node) and node.row.state == "gone":
-            # Danger: out of the table first. What its connections' ends start anew would open others to it,
-            # and nothing would ever close those.
+    def remove_node(self, node: Node) -> None:
+        """Remove a node that is still gone after the time for its last messages."""
+        if self.is_listed(node) and node.row.state == "gone":
+            # First out of the table: the ends of its connections may start set-ups again, which would open
+            # new connections to it that nothing ever closes.
             del self.nodes[node.id]
-            self.lost(node)
-            self.shut(node)
+            self.lose_sessions(node)
+            self.reset_connections(node)
 
-    def lists(self, node: Node) -> bool:
+    def is_listed(self, node: Node) -> bool:
+        """Whether this node is still in the table, and not another of its name."""
         return self.nodes.get(node.id) is node
 
-    def lost(self, node: Node) -> None:
-        for play in list(node.standing):
-            self.over(node, play, "broken", LOST)
+    def lose_sessions(self, node: Node) -> None:
+        """Take all sessions of a node for ended."""
+        for play in list(node.sessions):
+            self.session_ended(node, play, "broken", TEMPORARY_FAILURE)
 
-    def shut(self, node: Node) -> None:
+    def reset_connections(self, node: Node) -> None:
+        """End all connections to a node as if the node had reset them."""
         for connection in list(node.connections):
             connection.transport.end("reset")
 
     # ---- connections
 
     def open(self, node: Node) -> Connection | None:
-        """A new connection on its way; None where no more may be had."""
-        if not self.lists(node) or len(self.connections) >= self.most and not self.make_room():
+        """Begin to connect; None if the node is not listed any more, or no further connection may be had."""
+        if (
+            not self.is_listed(node)
+            or len(self.connections) >= self.max_connections
+            and not self.free_connection()
+        ):
             return None
         connection = Connection(node)
         try:
             connection.transport = connect(self.loop, node.address, self)
         except OSError as err:
-            self.log.warning("no connection", node=node.id, why=err.strerror)
+            self.log.warning("can't open a connection to the node", node=node.id, why=err.strerror)
             return None
-        connection.limit = self.timers.after(self.connect_limit, connection.transport.end, "unreached")
+        connection.connect_timer = self.timers.after(
+            self.connect_timeout_s, connection.transport.end, "unreached"
+        )
         self.connections[connection.transport] = connection
         node.connections.append(connection)
         return connection
 
-    def make_room(self) -> bool:
+    def free_connection(self) -> bool:
+        """Close the idle connection that was unused longest; False if none can be closed. A node's only
+        connection is spared while sessions are there and another can be closed.
+        """
         free = [c for c in self.connections.values() if c.idle]
-        spare = [c for c in free if len(c.node.connections) > 1 or not c.node.standing] or free
-        return any(self.retire(c) for c in sorted(spare, key=lambda c: c.used))
+        spare = [c for c in free if len(c.node.connections) > 1 or not c.node.sessions] or free
+        return any(self.close_if_idle(c) for c in sorted(spare, key=lambda c: c.last_used))
 
-    def pick(self, node: Node, play: str) -> Connection | None:
+    def choose_connection(self, node: Node, play: str) -> Connection | None:
         """The connection for a set-up: an idle one, else a new one, else the one with the fewest open."""
         for connection in node.open_connections():
-            if connection.set_ups or not connection.takes(play):
+            if connection.set_ups or not connection.accepts(play):
                 continue
             if not connection.transport.dead():
                 return connection
             self.loop.call_soon(connection.transport.readable)
-            connection.tired = True
-        most = max(1, min(EACH, self.most // max(1, len(self.nodes))))
+            connection.retiring = True
+        most = max(1, min(MAX_CONNECTIONS_PER_NODE, self.max_connections // max(1, len(self.nodes))))
         if len(node.connections) < most:
             connection = self.open(node)
             if connection is not None:
                 return connection
-        shared = [c for c in node.connections if c.takes(play) and len(c.set_ups) < self.streams]
+        shared = [
+            c for c in node.connections if c.accepts(play) and len(c.set_ups) < self.streams_per_connection
+        ]
         return min(shared, key=lambda c: len(c.set_ups), default=None)
 
     def opened(self, transport: Transport) -> None:
+        """A connection has come up: send what waited for it."""
         connection = self.connections[transport]
-        connection.limit.cancel()
+        connection.connect_timer.cancel()
         node, now = connection.node, time.monotonic()
-        connection.heard = node.heard = now
-        node.missed = 0
-        while node.unsaid and transport.send(node.unsaid[0]):
-            node.unsaid.pop(0)
+        connection.last_received = node.last_received = now
+        node.failed_connects = 0
+        while node.queued_messages and transport.send(node.queued_messages[0]):
+            node.queued_messages.pop(0)
         for session in connection.probes:
-            transport.send(probe(session))
+            transport.send(probe_request(session))
         for set_up in list(connection.set_ups.values()):
-            self.go(set_up, connection)
-        for quiet in [c for c in node.connections if c is not connection and now - c.heard > QUIET]:
-            self.retire(quiet)  # it may be dead without a word; this one lives
+            self.send_set_up(set_up, connection)
+        for other in [
+            c for c in node.connections if c is not connection and now - c.last_received > NODE_SILENCE_S
+        ]:
+            self.close_if_idle(other)  # it may be dead though it is open; this one is alive
 
     def ended(self, transport: Transport, why: str) -> None:
-        """A connection is gone. What was never handed to it may go by another; the rest may have run."""
+        """A connection has ended. A set-up that was never written may be sent on another; any other may have
+        run.
+        """
         connection = self.connections.pop(transport, None)
         if connection is None:
             return
-        node, torn = connection.node, bool(connection.reader.data)
+        node, partial = connection.node, bool(connection.reader.buffer)
         node.connections.remove(connection)
-        connection.limit.cancel()
+        connection.connect_timer.cancel()
         if not transport.came_up:
-            node.missed += 1
+            node.failed_connects += 1
         if why == "unreached":
-            self.silences.doubt(node.row.zone, time.monotonic())
+            self.silence_timeouts.suspect_zone(node.row.zone, time.monotonic())
         for name in list(connection.probes):
             self.probe_ended(connection, name, "broken" if transport.came_up else "unreached", {})
         for set_up in list(connection.set_ups.values()):
             connection.set_ups.pop(set_up.play, None)
             set_up.connection = None
             if set_up.state == SENT:
-                if why == "spoilt" or torn:
-                    # Danger: its answer was on the way, so it stands there, and nobody would ever end it
-                    self.cut(node, set_up.play)
+                if why == "spoilt" or partial:
+                    # Its answer was on the way, so the session may run there, and nothing else would end it.
+                    self.tear_down(node, set_up.play)
                 set_up.settle("error" if why == "spoilt" else "broken", {})
-            elif transport.came_up and not set_up.tries:
-                set_up.tries += 1  # nothing was handed over: another connection may be the better one
-                self.start(set_up)
+            elif transport.came_up and not set_up.retries:
+                set_up.retries += 1  # nothing was written: another connection may be sound
+                self.start_set_up(set_up)
             else:
                 set_up.settle("unreached", {})
-        for play in [play for play, given_up in connection.spent.items() if given_up]:
-            self.heard_end(node, play)  # with its connection, at the latest
-        self.keep(node)
+        for play in [play for play, abandoned in connection.failed_plays.items() if abandoned]:
+            self.teardown_acknowledged(node, play)  # the node hears of the end, at the latest, with this
+        self.ensure_connection(node)
 
-    def retire(self, connection: Connection) -> bool:
-        """Close a connection that is not needed; whether it is closed. The only place that does.
+    def close_if_idle(self, connection: Connection) -> bool:
+        """Close a connection that is not needed; whether it was closed. Outside `close_all`, nothing else
+        closes connections to nodes from this side while they are sound.
 
-        Danger: what its node has just written there, the end of a session for one, would be lost.
+        One with unread bytes stays open: what its node has just written, such as the end of a session, would
+        be lost.
         """
         if not connection.idle or connection.transport.queue:
             return False
         if connection.transport.unread():
             self.loop.call_soon(connection.transport.readable)
             return False
-        self.forget(connection)
+        self.close_connection(connection)
         return True
 
-    def forget(self, connection: Connection) -> None:
+    def close_connection(self, connection: Connection) -> None:
+        """Close a connection without `ended`, whatever is open on it."""
         self.connections.pop(connection.transport, None)
         connection.node.connections.remove(connection)
-        connection.limit.cancel()
+        connection.connect_timer.cancel()
         connection.transport.close()
 
-    def keep(self, node: Node) -> None:
-        """Where sessions stand the node needs a way to say that one is over."""
-        if self.closed or not node.standing or not self.lists(node):
+    def ensure_connection(self, node: Node) -> None:
+        """Keep a connection to a node with sessions, on which it can report their ends; take the sessions for
+        ended if it can't be reached.
+        """
+        if self.closed or not node.sessions or not self.is_listed(node):
             return
-        # Danger: a machine that vanished leaves a connection that stays open and says nothing.
-        silent = time.monotonic() - node.heard > QUIET
-        if node.missed >= SURE and (silent or not node.connections):
+        # A machine that vanished leaves a connection that stays open and is silent.
+        silent = time.monotonic() - node.last_received > NODE_SILENCE_S
+        if node.failed_connects >= FAILED_CONNECTS_UNTIL_LOST and (silent or not node.connections):
             self.log.warning(
-                "a node can't be reached; its sessions are over", node=node.id, sessions=len(node.standing)
+                "node can't be reached; its sessions are taken for ended",
+                node=node.id,
+                sessions=len(node.sessions),
+            )
+            self.lose_sessions(node)
+        elif not node.connections and node.reconnect_timer is None:
+            delay = (
+                RECONNECT_DELAYS_S[min(node.failed_connects - 1, len(RECONNECT_DELAYS_S) - 1)]
+                if node.failed_connects
+                else 0.0
             )
-            self.lost(node)
-        elif not node.connections and node.pause is None:
-            pause = PAUSES[min(node.missed - 1, len(PAUSES) - 1)] if node.missed else 0.0
-            node.pause = self.timers.after(pause, self.reach, node)
+            node.reconnect_timer = self.timers.after(delay, self.reconnect, node)
 
-    def reach(self, node: Node) -> None:
-        node.pause = None
+    def reconnect(self, node: Node) -> None:
+        """Connect to a node with sessions and no connection; try again later if none can be opened."""
+        node.reconnect_timer = None
         if (
             not self.closed
-            and self.lists(node)
+            and self.is_listed(node)
             and not node.connections
-            and node.standing
+            and node.sessions
             and self.open(node) is None
         ):
-            node.pause = self.timers.after(PAUSES[-1], self.reach, node)
+            node.reconnect_timer = self.timers.after(RECONNECT_DELAYS_S[-1], self.reconnect, node)
 
-    def look(self) -> None:
-        """Connections long idle are closed before the node does it; silent nodes are reached anew."""
+    def check_connections(self) -> None:
+        """Runs each `CHECK_INTERVAL_S`: closes connections that are idle for long, before their nodes do, and
+        opens new ones to nodes that are silent.
+        """
         now = time.monotonic()
-        idle = (
+        idle_timeout_s = (
             self.driver.start_settings.get("permissions.idle_close", 15 * TICKS_PER_SECOND)
             / TICKS_PER_SECOND
             * 0.6
         )
         for node in list(self.nodes.values()):
             for connection in [c for c in node.connections if c.transport.open]:
-                if connection.tired or (
-                    now - max(connection.used, connection.heard) > idle
-                    and (len(node.connections) > 1 or not node.standing)
+                if connection.retiring or (
+                    now - max(connection.last_used, connection.last_received) > idle_timeout_s
+                    and (len(node.connections) > 1 or not node.sessions)
                 ):
-                    self.retire(connection)
-            for play in [p for p, (_, at) in node.ending.items() if now - at > self.connect_limit]:
-                del node.ending[play]  # it is free to the node whether it says that it heard
-            if node.standing and node.row.state != "gone":
+                    self.close_if_idle(connection)
+            for play in [
+                p for p, (_, at) in node.pending_teardowns.items() if now - at > self.connect_timeout_s
+            ]:
+                del node.pending_teardowns[play]  # nodes need not acknowledge a TEARDOWN
+            if node.sessions and node.row.state != "gone":
                 if not node.connections:
-                    self.keep(node)
-                elif now - node.heard > self.silences.allowed(node.row.zone, now) and all(
+                    self.ensure_connection(node)
+                elif now - node.last_received > self.silence_timeouts.allowed(node.row.zone, now) and all(
                     c.transport.open for c in node.connections
                 ):
                     self.open(node)
         if not self.closed:
-            self.timers.after(LOOK, self.look)
+            self.timers.after(CHECK_INTERVAL_S, self.check_connections)
 
-    # ---- what is asked of a node
+    # ---- requests to nodes
 
     def set_up(self, active_play: ActivePlay, number: int, name: str, span: float) -> SetUp | None:
-        """Ask a node to set a session up; None where it is not listed or the session is closed."""
+        """Ask a node to set a session up within `span` seconds; None if the node is not listed, or the play
+        has its answer.
+        """
         node = self.nodes.get(name)
         if node is None or active_play.answered:
             return None
         set_up = SetUp(self, node, active_play, number, span)
-        if set_up.play in node.ending:
-            # Danger: an earlier set-up of the play was given up there. Its TEARDOWN, on another connection,
-            # may come after this one and end it.
-            node.behind[set_up.play], set_up.waited = set_up, True
-            self.timers.after(self.connect_limit, self.let_go, node, set_up)
+        if set_up.play in node.pending_teardowns:
+            # An earlier set-up of the play was abandoned there. Its TEARDOWN, on another connection, may
+            # arrive after this set-up and end it.
+            node.waiting_set_ups[set_up.play], set_up.waited = set_up, True
+            self.timers.after(self.connect_timeout_s, self.start_waiting, node, set_up)
         else:
-            self.start(set_up)
+            self.start_set_up(set_up)
         return set_up
 
-    def let_go(self, node: Node, set_up: SetUp) -> None:
-        """What was waited for is over, or was long enough on its way."""
-        if node.behind.get(set_up.play) is set_up:
-            del node.behind[set_up.play]
+    def start_waiting(self, node: Node, set_up: SetUp) -> None:
+        """Start a set-up whose wait for TEARDOWNs is over, by their acknowledgements or by its timeout."""
+        if node.waiting_set_ups.get(set_up.play) is set_up:
+            del node.waiting_set_ups[set_up.play]
             if set_up.state == WAITING:
-                self.start(set_up)
+                self.start_set_up(set_up)
 
-    def heard_end(self, node: Node, play: str) -> None:
-        """A node has heard a TEARDOWN, or its connection has ended."""
-        count, at = node.ending.pop(play, (0, 0.0))
+    def teardown_acknowledged(self, node: Node, play: str) -> None:
+        """A node has acknowledged a TEARDOWN, or its connection has ended."""
+        count, at = node.pending_teardowns.pop(play, (0, 0.0))
         if count > 1:
-            node.ending[play] = count - 1, at
-        elif play in node.behind:
-            self.let_go(node, node.behind[play])
+            node.pending_teardowns[play] = count - 1, at
+        elif play in node.waiting_set_ups:
+            self.start_waiting(node, node.waiting_set_ups[play])
 
-    def start(self, set_up: SetUp) -> None:
-        connection = self.pick(set_up.node, set_up.play) if self.lists(set_up.node) else None
+    def start_set_up(self, set_up: SetUp) -> None:
+        """Send a set-up on a connection that is up, or once the chosen one has come up."""
+        connection = self.choose_connection(set_up.node, set_up.play) if self.is_listed(set_up.node) else None
         if connection is None:
             # ends after this returns: the driver has yet to note the allocation
             self.loop.call_soon(set_up.settle, "unreached", {})
@@ -428,237 +516,268 @@
         set_up.connection = connection
         connection.set_ups[set_up.play] = set_up
         if connection.transport.open:
-            self.go(set_up, connection)
+            self.send_set_up(set_up, connection)
         else:
             set_up.waited = True
 
-    def go(self, set_up: SetUp, connection: Connection) -> None:
-        """Hand the set-up over."""
+    def send_set_up(self, set_up: SetUp, connection: Connection) -> None:
+        """Write the SETUP request, unless something changed while it waited."""
         active_play, node = set_up.active_play, set_up.node
-        # Danger: it may have waited for its connection. A drain told meanwhile, a process that has started
-        # anew and is cold, or a viewer gone, stops it.
+        # It may have waited for its connection. It is not sent if meanwhile the node drains, has started anew
+        # and is cold, or the viewer has gone.
         if (
             active_play.answered
             or active_play.closed
-            or node.stamp != set_up.stamp
+            or node.identity != set_up.node_identity
             or set_up.waited
             and active_play.exchange.hung_up()
         ):
             self.loop.call_soon(set_up.settle, "not_sent", {})
             return
-        left = set_up.span - (time.monotonic() - set_up.began)
-        facts = active_play.info
+        left = set_up.time_limit_s - (time.monotonic() - set_up.started_at)
+        info = active_play.info
         data = rtsp.request(
             "SETUP",
-            facts.title,
-            facts.play,
+            info.title,
+            info.play,
             1,
             active_play.exchange.description,
-            Subject=facts.product,
+            Subject=info.product,
             X_Patience=str(max(1, int(left * 1000))),
             X_Rung=str(active_play.rung),
         )
-        connection.used = time.monotonic()
+        connection.last_used = time.monotonic()
         if connection.transport.send(data):
             set_up.state = SENT
 
-    def give_up(self, set_up: SetUp) -> None:
-        """Tell the node that its answer is not waited for; one that crosses is cut."""
+    def abandon_set_up(self, set_up: SetUp) -> None:
+        """Tell the node that its answer is no longer waited for. If a success still arrives, `handle_answer`
+        tears the session down.
+        """
         connection, play = set_up.connection, set_up.play
-        self.end_told(
+        self.note_teardown(
             set_up.node,
             play,
             connection.transport.send(rtsp.request("TEARDOWN", set_up.active_play.info.title, play, 2)),
         )
-        connection.spent[play] = True
-        if connection.heard < set_up.began:
-            connection.tired = True  # nothing has come since: it may be dead without a word
+        connection.failed_plays[play] = True
+        if connection.last_received < set_up.started_at:
+            connection.retiring = True  # silent since before the set-up: it may be dead though it is open
 
-    def end_told(self, node: Node, play: str, went: bool) -> None:
-        """A TEARDOWN went out, or not; the node may say that it heard it."""
-        if went:
-            node.ending[play] = node.ending.get(play, (0, 0.0))[0] + 1, time.monotonic()
+    def note_teardown(self, node: Node, play: str, sent: bool) -> None:
+        """Count a TEARDOWN that was sent, until the node acknowledges it."""
+        if sent:
+            node.pending_teardowns[play] = node.pending_teardowns.get(play, (0, 0.0))[0] + 1, time.monotonic()
 
     def release(self, name: str, play: str, cause: int) -> None:
-        """End a session that stands at a node."""
+        """End a session that runs at a node."""
         node = self.nodes.get(name)
-        if node is not None and node.standing.pop(play, None) is not None:
-            self.cut(node, play, cause)
+        if node is not None and node.sessions.pop(play, None) is not None:
+            self.tear_down(node, play, cause)
 
-    def cut(self, node: Node, play: str, cause: int = CUT) -> None:
-        """End what stands there, or may stand though no answer told so."""
+    def tear_down(self, node: Node, play: str, cause: int = ENDED_BY_FRONT) -> None:
+        """Tell a node to end a session that runs there, or may run though no answer said so."""
         data = rtsp.request("TEARDOWN", play, play, 2, Reason=f"cause={cause}")
-        self.end_told(node, play, self.say(node, data))
+        self.note_teardown(node, play, self.send_to(node, data))
 
     def end(self, name: str, play: str, number: int, why: str) -> None:
-        """The driver ends what may run; what was open was given up when its set-up ended."""
+        """End what may run of an allocation, as the driver asks. A set-up that was still open had its
+        TEARDOWN when it was abandoned.
+        """
         node = self.nodes.get(name)
-        if why == "moved" and node is not None and node.standing.pop(play, None) is not None:
-            # Danger: a node told first cuts the session; its viewer is owed a release in place of the move.
-            node.moved[play] = self.timers.after(MOVED, self.unmoved, node, play)
+        if why == "moved" and node is not None and node.sessions.pop(play, None) is not None:
+            # If the node were told now, it would end the session before the viewer has moved, and the viewer
+            # would be owed a release instead.
+            node.moved_sessions[play] = self.timers.after(
+                MOVED_SESSION_TIMEOUT_S, self.move_timed_out, node, play
+            )
         else:
-            self.release(name, play, CUT)
+            self.release(name, play, ENDED_BY_FRONT)
 
-    def unmoved(self, node: Node, play: str) -> None:
-        """The platform has not ended a moved session: it was over before; its viewer is owed a release."""
-        del node.moved[play]
-        self.cut(node, play)
-        self.driver.viewers.over(play, LOST)
+    def move_timed_out(self, node: Node, play: str) -> None:
+        """The platform has not ended a moved session, so it was over before: its viewer is owed a release."""
+        del node.moved_sessions[play]
+        self.tear_down(node, play)
+        self.driver.viewers.session_ended(play, TEMPORARY_FAILURE)
 
     def set_rung(self, name: str, play: str, number: int, rung: int) -> None:
+        """Tell a node to change the rung of a session there."""
         node = self.nodes.get(name)
-        if node is not None and play in node.standing:
-            self.say(node, rtsp.request("SET_PARAMETER", play, play, 4, X_Rung=str(rung)))
+        if node is not None and play in node.sessions:
+            self.send_to(node, rtsp.request("SET_PARAMETER", play, play, 4, X_Rung=str(rung)))
 
-    def say(self, node: Node, data: bytes) -> bool:
-        """Say something that wants no answer, on an open connection, or on the next. Whether it went out."""
+    def send_to(self, node: Node, data: bytes) -> bool:
+        """Send a request that needs no answer on any open connection; else queue it for the next one. Whether
+        it was sent.
+        """
         for connection in node.open_connections():
             if connection.transport.send(data):
                 return True
-        if node.row.state != "gone" and len(node.unsaid) < UNSAID:
-            node.unsaid.append(data)
+        if node.row.state != "gone" and len(node.queued_messages) < MAX_QUEUED_MESSAGES:
+            node.queued_messages.append(data)
             if all(c.transport.open for c in node.connections):
                 self.open(node)
         return False
 
     def probe(self, name: str) -> None:
+        """Ask a node for a load report; the driver gets it as "probed"."""
         node = self.nodes.get(name)
-        connection = node and self.pick_any(node)
+        connection = node and self.choose_any_connection(node)
         if connection is None:
             self.loop.call_soon(
                 self.driver.dispatch, "probed", name, "unreached" if node else "not_sent", 0, {}
             )
             return
-        self.probes += 1
-        session = f"{self.seed:08x}{self.probes & 0xFFFFFFFF:08x}"
+        self.probe_count += 1
+        session = f"{self.seed:08x}{self.probe_count & 0xFFFFFFFF:08x}"
         connection.probes[session] = time.monotonic()
-        self.timers.after(PROBE, self.probe_late, connection, session)
+        self.timers.after(PROBE_TIMEOUT_S, self.probe_timed_out, connection, session)
         if connection.transport.open:
-            connection.transport.send(probe(session))  # else once it is up
+            connection.transport.send(probe_request(session))  # otherwise sent in `opened`
 
-    def pick_any(self, node: Node) -> Connection | None:
-        """For a small question: any open connection, else one on its way, else a new one."""
-        sound = node.open_connections() or [c for c in node.connections if not c.tired]
+    def choose_any_connection(self, node: Node) -> Connection | None:
+        """For a probe: any open connection, else one that is coming up, else a new one."""
+        sound = node.open_connections() or [c for c in node.connections if not c.retiring]
         return sound[0] if sound else self.open(node)
 
-    def probe_late(self, connection: Connection, session: str) -> None:
+    def probe_timed_out(self, connection: Connection, session: str) -> None:
+        """End a probe without an answer as "late"; a connection silent since then is retired."""
         if session in connection.probes:
-            if connection.heard < connection.probes[session]:
-                connection.tired = True
+            if connection.last_received < connection.probes[session]:
+                connection.retiring = True
             self.probe_ended(connection, session, "late", {})
 
     def probe_ended(self, connection: Connection, session: str, how: str, report: dict) -> None:
+        """Tell the module how a probe ended, once."""
         began = connection.probes.pop(session, None)
         if began is not None:
             took = int((time.monotonic() - began) * TICKS_PER_SECOND)
             self.driver.dispatch("probed", connection.node.id, how, took, report)
 
-    # ---- what a node says
+    # ---- messages from nodes
 
     def heard(self, transport: Transport, data: bytes) -> None:
+        """Bytes came on a connection: handle the messages in them."""
         connection = self.connections[transport]
-        connection.heard = connection.node.heard = time.monotonic()
+        connection.last_received = connection.node.last_received = time.monotonic()
         for message in connection.reader.feed(data):
-            self.take(connection, message)
+            self.handle_message(connection, message)
             if transport.over:
                 return
-        if connection.reader.why:
-            self.log.warning("a node can't be read", node=connection.node.id, why=connection.reader.why)
+        if connection.reader.error:
+            self.log.warning(
+                "message from a node is invalid; its connection is closed",
+                node=connection.node.id,
+                why=connection.reader.error,
+            )
             transport.end("spoilt")
 
-    def take(self, connection: Connection, message: rtsp.Message) -> None:
+    def handle_message(self, connection: Connection, message: rtsp.Message) -> None:
+        """Handle a request or a response of a node."""
         node, play = connection.node, message.session
         if message.method == "TEARDOWN":
             connection.transport.send(rtsp.response(200, "OK", message))
             set_up, cause = connection.set_ups.get(play), message.cause()
             if set_up is not None and set_up.state == SENT:
-                if cause == 16 and message.body:
-                    # so short that its end comes with its answer; the play ran, and the node is sound
-                    self.answered(connection, message._replace(status=200))
-                    if play in node.standing:
-                        self.over(node, play, "ok", cause)
+                if cause == NORMAL_CLEARING and message.body:
+                    # So short a session that its end carries its answer: it ran, and the node is sound.
+                    self.handle_answer(connection, message._replace(status=200))
+                    if play in node.sessions:
+                        self.session_ended(node, play, "ok", cause)
                 else:
-                    set_up.settle("broken", self.report(message))
-            elif play in node.moved:
-                node.moved.pop(play).cancel()
-                self.driver.viewers.over(play, cause or LOST, cause != CUT)
-            elif play in node.standing:
-                self.over(node, play, ENDS.get(cause, "broken"), cause or LOST, cause != CUT)
+                    set_up.settle("broken", self.parse_report(message))
+            elif play in node.moved_sessions:
+                node.moved_sessions.pop(play).cancel()
+                self.driver.viewers.session_ended(play, cause or TEMPORARY_FAILURE, cause != ENDED_BY_FRONT)
+            elif play in node.sessions:
+                self.session_ended(
+                    node,
+                    play,
+                    ENDING_BY_CAUSE.get(cause, "broken"),
+                    cause or TEMPORARY_FAILURE,
+                    cause != ENDED_BY_FRONT,
+                )
         elif message.method == "ANNOUNCE":
-            self.note(node, play, message.fields)
+            self.handle_note(node, play, message.fields)
         elif message.method:
-            pass  # a move or a test is not for a front to hear
+            pass  # other requests of the platform are not for a front
         elif play in connection.probes:
             if message.status >= 200:
                 how = "ok" if message.status == 200 else "error"
-                self.probe_ended(connection, play, how, self.report(message))
+                self.probe_ended(connection, play, how, self.parse_report(message))
         elif message.status >= 200 and message.fields["cseq"] == "1":
-            self.answered(connection, message)
+            self.handle_answer(connection, message)
         elif message.status >= 200 and message.fields["cseq"] == "2":
-            self.heard_end(node, play)
+            self.teardown_acknowledged(node, play)
 
-    def answered(self, connection: Connection, message: rtsp.Message) -> None:
-        """The answer to a set-up. A second copy, or one of an unknown id, is nobody's."""
+    def handle_answer(self, connection: Connection, message: rtsp.Message) -> None:
+        """Settle the set-up that an answer is for. A second copy of one, or one with an unknown id, is
+        ignored.
+        """
         node, play = connection.node, message.session
         set_up = connection.set_ups.get(play)
         if set_up is None or set_up.state != SENT:
-            # Danger: cut by its name, a later set-up of the play at this node would end with it.
-            elsewhere = play in node.standing or any(play in c.set_ups for c in node.connections)
-            if message.status == 200 and connection.spent.get(play) and not elsewhere:
-                connection.spent[play] = False
-                self.cut(node, play)
+            # A success after the set-up was abandoned is torn down, unless the play has another set-up or
+            # session at this node, which a TEARDOWN by the same name would end.
+            elsewhere = play in node.sessions or any(play in c.set_ups for c in node.connections)
+            if message.status == 200 and connection.failed_plays.get(play) and not elsewhere:
+                connection.failed_plays[play] = False
+                self.tear_down(node, play)
             return
         if message.status == 200:
             if not message.body:
                 set_up.settle("error", {})
-                self.cut(node, play)
+                self.tear_down(node, play)
                 return
             set_up.active_play.exchange.answer = message.body
-            node.standing[play] = self.driver.clock.now()
-            set_up.settle("ok", self.report(message))
+            node.sessions[play] = self.driver.clock.now()
+            set_up.settle("ok", self.parse_report(message))
         else:
-            set_up.settle(REFUSALS.get(message.status, "error"), self.report(message))
+            set_up.settle(ENDING_BY_STATUS.get(message.status, "error"), self.parse_report(message))
 
-    def note(self, node: Node, play: str, fields: dict[str, str]) -> None:
-        kind = NOTES.get(fields.get("x-note", ""))
+    def handle_note(self, node: Node, play: str, fields: dict[str, str]) -> None:
+        """Pass a node's note on a session (ANNOUNCE) to the driver; an invalid or unknown one is ignored."""
+        kind = NOTE_KINDS.get(fields.get("x-note", ""))
         try:
             value = float(fields.get("x-value", ""))
         except ValueError:
             return
-        if kind and play in node.standing:
+        if kind and play in node.sessions:
             self.driver.play_noted(play, node.id, kind, value)
 
-    def report(self, message: rtsp.Message) -> dict[str, float]:
+    def parse_report(self, message: rtsp.Message) -> dict[str, float]:
+        """The load report that a message carries; empty if there is none, or it is invalid."""
         try:
             return parse_load_report(message.fields.get("x-state", ""), ";")
         except ValueError:
             return {}
 
-    def over(self, node: Node, play: str, how: str, cause: int, owed: bool = True) -> None:
-        """A session that stood is over: its viewer is told, then the module."""
-        node.standing.pop(play, None)
-        self.driver.viewers.over(play, cause, owed)
+    def session_ended(self, node: Node, play: str, how: str, cause: int, release_owed: bool = True) -> None:
+        """A session at a node has ended: tell its viewer, then the module."""
+        node.sessions.pop(play, None)
+        self.driver.viewers.session_ended(play, cause, release_owed)
         self.driver.play_ended(play, how)
 
     def adopt(self, play: str, name: str) -> bool:
-        """A session stands at a node from before this process began."""
+        """Take over a session that was set up before this process began; False if its node is not listed."""
         node = self.nodes.get(name)
         if node is None:
             return False
-        node.standing[play] = self.driver.clock.now()
-        if not node.connections and node.pause is None:
-            node.pause = self.timers.after(self.ways_in.wait(), self.reach, node)
+        node.sessions[play] = self.driver.clock.now()
+        if not node.connections and node.reconnect_timer is None:
+            node.reconnect_timer = self.timers.after(self.connect_delays.next(), self.reconnect, node)
         return True
 
     def event(self, node: str, event) -> None:
-        """Nothing is kept back here: what concerns a session comes on its own connection, in order."""
+        """Does nothing: a node reports on a session on its own connection in order, so no event is early."""
 
     def close_all(self) -> None:
+        """Close all connections for good."""
         self.closed = True
         for connection in list(self.connections.values()):
-            self.forget(connection)
+            self.close_connection(connection)
 
 
-def probe(session: str) -> bytes:
-    """The question for a report, which the platform takes for a test."""
+def probe_request(session: str) -> bytes:
+    """The request for a load report, which the platform takes for a health check."""
     return rtsp.request("OPTIONS", "load", session, 3)
--- a/curlewhall/relay/null_objects.py
+++ b/curlewhall/relay/null_objects.py
@@ -1,4 +1,4 @@
-"""What this front end does without: the mover's place is empty, no log lines for each message."""
+"""Null objects for what this front end does without (moves, peers), and its log on standard error."""
 
 import contextlib
 import sys
@@ -7,7 +7,7 @@
 
 
 class NoMoves:
-    """A front that moves no play."""
+    """Stands in for the mover in a front that moves no plays."""
 
     retrying = ()
 
@@ -24,42 +24,50 @@
 
 
 class NoPeers:
-    """A front whose platform gives it no way to its peers."""
+    """Stands in for the peers of a front whose platform gives it no way to reach them."""
 
     def send(self, peer: int | None, body: bytes) -> None: ...
 
 
 class Log:
-    """Lines on standard error for what is out of order, at most `RATE` a second; the rest are counted."""
+    """Writes warnings and errors as lines on standard error, at most `MAX_LINES_PER_SECOND`; it counts the
+    rest.
+    """
 
-    RATE = 5  # enough to see what goes on; a bad viewer must not fill a disk or take the core
+    MAX_LINES_PER_SECOND = 5  # a misbehaving viewer must not fill a disk or occupy the core
 
     def __init__(self, out=None) -> None:
-        self.out, self.second, self.said, self.left_out = out or sys.stderr, 0, 0, 0
+        self.out = out or sys.stderr
+        self.second = 0  # the second that the two counts are of
+        self.lines = 0
+        self.suppressed = 0
 
     def info(self, text: str, **facts) -> None:
-        """Nothing: the driver tells each step of each play."""
+        """Writes nothing: the driver reports each step of each play here."""
 
     def warning(self, text: str, **facts) -> None:
+        """Write a line, unless this second has had its share."""
         second = int(time.monotonic())
         if second != self.second:
-            if self.left_out:
-                self.say(f"{self.left_out} more lines left out")
-            self.second, self.said, self.left_out = second, 0, 0
-        self.said += 1
-        if self.said > self.RATE:
-            self.left_out += 1
+            if self.suppressed:
+                self.write(f"{self.suppressed} log lines suppressed")
+            self.second, self.lines, self.suppressed = second, 0, 0
+        self.lines += 1
+        if self.lines > self.MAX_LINES_PER_SECOND:
+            self.suppressed += 1
             return
-        self.say(text, **facts)
+        self.write(text, **facts)
 
     error = warning
 
-    def say(self, text: str, **facts) -> None:
-        """What happens once or twice in a process's life."""
+    def write(self, text: str, **facts) -> None:
+        """Write a line, whatever the rate: for what happens once or twice in a process's life."""
         more = " ".join(f"{name}={value}" for name, value in facts.items())
-        # Danger: whoever read these lines has gone. An error here would end what is told of, the leaving too.
+        # The reader of standard error may have gone. An error here would end the caller, and with it a
+        # shutdown that is being logged.
         with contextlib.suppress(OSError):
             print(f"{text} {more}".rstrip(), file=self.out, flush=True)
 
     def exception(self, text: str, **facts) -> None:
+        """Write a line with the end of the current exception's traceback."""
         self.warning(text, **facts, fault=" | ".join(traceback.format_exc().strip().splitlines()[-6:]))
--- a/curlewhall/relay/start_settings.py
+++ b/curlewhall/relay/start_settings.py
@@ -1,4 +1,6 @@
-"""What the platform tells a front at its start: variables, the configuration's JSON, the start settings."""
+"""Reads what the platform tells a front at its start: environment variables, the JSON configuration, and in
+it the start settings.
+"""
 
 import json
 from collections.abc import Mapping
@@ -7,39 +9,41 @@
 from curlewhall.errors import CurlewhallError
 from curlewhall.platform_names import start_settings_of
 
-RESERVE = 24  # descriptors for the loop, the listener, the channel, the standard streams and what is closing
-NODES = 0.4  # of the rest; usual viewers hold a third of the limit at most, bad ones what they get
+RESERVED_SOCKETS = 24  # for the loop, the listener, the channel, the standard streams and what is closing
+NODE_SOCKET_SHARE = 0.4  # of the rest; usual viewers hold a third of the limit at most
 
 
 class ConfigurationError(CurlewhallError, ValueError):
-    """The configuration can't be used; one plain line says why."""
+    """The configuration can't be used; one line says why."""
 
     remedy = "Correct the file that RELAY_CONFIG names, and start or SIGHUP the front again."
 
 
-class Given(NamedTuple):
-    """A checked configuration. `viewers` and `nodes`: the most connections of each side."""
+class RelayConfig(NamedTuple):
+    """A checked configuration."""
 
     name: str
     address: tuple[str, int]
     channel: tuple[str, int]
     seed: int
     start_settings: dict[str, Any]
-    known: dict[str, Any]
-    viewers: int
-    nodes: int
+    known: dict[str, Any]  # the node list as far as the configuration has it, see `Channel.apply_known`
+    max_viewer_connections: int
+    max_node_connections: int
 
 
-def address_of(text: Any, what: str) -> tuple[str, int]:
-    """Host and port of "10.2.0.1:2379"; `ConfigurationError`, with `what` it was to be, for all else."""
+def parse_address(text: Any, what: str) -> tuple[str, int]:
+    """Host and port of "10.2.0.1:2379"; raises `ConfigurationError`, which names `what` was read."""
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not (port.isascii() and port.isdigit()) or not 0 < int(port) < 65536:
-        raise ConfigurationError(f"{what} is no address with a port: {text!r}")
+        raise ConfigurationError(f"{what} must be an address as host:port, not {text!r}")
     return host, int(port)
 
 
-def read(variables: Mapping[str, str]) -> Given:
-    """The configuration that the variables name; `ConfigurationError` for whatever is missing or wrong."""
+def read_config(variables: Mapping[str, str]) -> RelayConfig:
+    """Read the configuration that the variables name; raises `ConfigurationError` if it is missing or
+    invalid.
+    """
     path = variables.get("RELAY_CONFIG")
     if not path:
         raise ConfigurationError("RELAY_CONFIG is not set")
@@ -47,16 +51,16 @@
         with open(path, encoding="utf-8") as file:
             config = json.load(file)
     except OSError as err:
-        raise ConfigurationError(f"the configuration can't be read: {err.strerror}: {path}") from None
+        raise ConfigurationError(f"configuration file can't be read: {err.strerror}: {path}") from None
     except ValueError as err:
-        raise ConfigurationError(f"the configuration is not JSON: {err}") from None
+        raise ConfigurationError(f"configuration file is not JSON: {err}") from None
     if not isinstance(config, dict):
-        raise ConfigurationError("the configuration is no JSON object")
+        raise ConfigurationError(f"configuration must be a JSON object, not {type(config).__name__}")
     settings, known = config.get("settings"), config.get("known", {})
     if not isinstance(settings, dict):
-        raise ConfigurationError("the configuration has no settings")
+        raise ConfigurationError("configuration must have an object under settings")
     if not isinstance(known, dict) or not isinstance(known.get("cmds", []), list):
-        raise ConfigurationError("known is not of its form")
+        raise ConfigurationError("known must be an object with a list under cmds")
     limits = config.get("limits") if isinstance(config.get("limits"), dict) else {}
     sockets = limits.get("sockets", 1024)
     if not isinstance(sockets, int) or sockets < 64:
@@ -64,15 +68,15 @@
     try:
         seed = int(str(config.get("seed", "0")), 16)
     except ValueError:
-        raise ConfigurationError(f"seed is not hexadecimal: {config['seed']!r}") from None
-    nodes = int((sockets - RESERVE) * NODES)
-    return Given(
+        raise ConfigurationError(f"seed must be a hexadecimal number, not {config['seed']!r}") from None
+    nodes = int((sockets - RESERVED_SOCKETS) * NODE_SOCKET_SHARE)
+    return RelayConfig(
         variables.get("RELAY_NAME") or str(config.get("name", "")),
-        address_of(variables.get("RELAY_LISTEN") or config.get("listen"), "RELAY_LISTEN"),
-        address_of(config.get("channel"), "channel"),
+        parse_address(variables.get("RELAY_LISTEN") or config.get("listen"), "RELAY_LISTEN"),
+        parse_address(config.get("channel"), "channel"),
         seed,
         start_settings_of(settings),
         known,
-        sockets - RESERVE - nodes,
+        sockets - RESERVED_SOCKETS - nodes,
         nodes,
     )
--- a/curlewhall/relay/viewers.py
+++ b/curlewhall/relay/viewers.py
@@ -1,11 +1,13 @@
 """Viewers' side: the listener, set-ups, answers and releases.
 
 A set-up becomes a play; its one answer is the description that its node gave, or a refusal. No connection
-owns a session that stands: what ends it may come, and is told, on another one.
+owns an established session: its end may be received, and is sent, on another one.
 """
 
 import re
+import socket
 import time
+from asyncio import AbstractEventLoop
 from collections import OrderedDict, deque
 from typing import NamedTuple
 
@@ -13,34 +15,43 @@
 from curlewhall.errors import CurlewhallError
 from curlewhall.front.driver import ActivePlay, Driver
 from curlewhall.platform_names import to_tenths
+from curlewhall.wire.timers import Timers
 from curlewhall.wire.transport import Transport
 
-SILENT = 2.0  # seconds to a connection's first sound message, or for one half sent; 3 s are allowed from its
-# opening, and a look every LOOK seconds may come late on a busy core
-LOOK = 0.25
-IDLE = 6.0  # seconds without any session; viewers themselves close after 4
-SOON = 0.4  # seconds that a release waits for a connection known to be a usual viewer's; 1 s is allowed
-KEPT = 8.0  # seconds after which a release that nobody came for is dropped: nothing counts it any more
-AHEAD = 64  # messages that may be read before those that came first are taken: a flood must not pile up
-SLOW = 8.0  # seconds in which a client takes nothing of what is written to it until it is closed all the same
-YOUNG = 0.25  # seconds in which a new client's first bytes come, many times the way
-AT_ONCE = 64  # connections accepted in one turn of the loop
-SHUT = 64  # such turns before the listener is closed
-PATIENT = 10  # times a product's time limit: viewers wait no longer than it; beyond this it is no patience
-DECLINED, FAILED, WRONG = 42, 41, 100  # causes: congestion; temporary failure; invalid contents (ITU-T Q.850)
-TITLE = re.compile(rb"[0-9a-f]{16}")
-VIEWER = re.compile(r"[0-9a-f]{1,16}")
+from .null_objects import Log
+
+# 3 s are allowed from the opening of a connection, and a check may come late on a busy core
+MESSAGE_TIMEOUT_S = 2.0  # until a connection's first valid message, or the rest of one that has begun
+CHECK_INTERVAL_S = 0.25
+IDLE_TIMEOUT_S = 6.0  # for a connection without any session; viewers themselves close after 4
+RELEASE_WAIT_S = 0.4  # that a release waits for a connection that was served; 1 s is allowed
+RELEASE_EXPIRY_S = 8.0  # then an undelivered release is dropped: it is of no use any more
+MAX_READ_AHEAD = 64  # messages read before earlier ones are handled: bounds memory under a flood
+SLOW_READER_TIMEOUT_S = 8.0  # a client that takes no bytes for so long is closed with answers unsent
+NEW_CONNECTION_S = 0.25  # in which a new client's first bytes arrive, many times the way
+ACCEPT_RETRY_S = 0.05  # until the listener is read again after it ran out of descriptors
+ACCEPTS_PER_TURN = 64  # of the event loop
+MAX_LAST_ACCEPT_TURNS = 64  # before the listener is closed
+MAX_PATIENCE = 10  # times a product's time limit: viewers wait no longer than that limit
+MAX_MOVED_VIEWERS = 1000  # far more than come back at one time
+# causes (ITU-T Q.850)
+NORMAL_CLEARING = 16
+TEMPORARY_FAILURE = 41
+CONGESTION = 42
+INVALID_CONTENTS = 100
+TITLE_ID = re.compile(rb"[0-9a-f]{16}")
+VIEWER_ID = re.compile(r"[0-9a-f]{1,16}")
 NUMBER = re.compile(r"\d{1,9}")
 
 
 class SetUpError(CurlewhallError):
-    """A set-up that can't be taken; the text says why."""
+    """A set-up that can't be accepted; the text says why."""
 
     remedy = "Look at the client that sent it: its set-up breaks the protocol, and it was refused."
 
 
 class PlayInfo(NamedTuple):
-    """What a set-up says of its play, with where the title is held."""
+    """What a set-up says of its play, and where the title is held."""
 
     play: str
     product: str
@@ -57,99 +68,119 @@
 class Session:
     """A play on the viewers' side, from its set-up until it is over: `ActivePlay.exchange` of the driver."""
 
-    __slots__ = ("id", "viewers", "connection", "description", "answer", "active_play", "stands")
+    __slots__ = ("id", "viewers", "connection", "description", "answer", "active_play", "established")
 
     def __init__(
         self, name: str, viewers: "Viewers", connection: "Connection", description: bytes = b""
     ) -> None:
-        self.id, self.viewers, self.connection, self.description = name, viewers, connection, description
-        self.answer, self.active_play, self.stands = b"", None, False
+        self.id = name
+        self.viewers = viewers
+        self.connection: Connection | None = connection  # None once it has ended
+        self.description = description  # of the request, for the node
+        self.answer = b""  # the node's description, for the viewer
+        self.active_play: ActivePlay | None = None
+        self.established = False  # it was answered with success, and is not over
 
     def hung_up(self) -> bool:
-        """Whether its viewer has gone, though that was not taken yet: ended the connection, or gave up."""
-        return self.connection is None or self.viewers.gone(self)
+        """Whether its viewer has ended the connection or given up, even if that was not handled yet."""
+        return self.connection is None or self.viewers.viewer_gone(self)
 
 
 class Connection:
-    """One connection from viewers. `parting`: no set-up is taken from it any more, and it is closed once
-    nothing is owed on it; it is still read, so that a release, or its end, is heard of.
+    """One connection from viewers. `closing`: it accepts no more set-ups, and is closed once nothing is owed
+    on it; it is still read, so that a release, or its end, is noticed.
     """
 
     __slots__ = (
         "transport",
         "reader",
-        "came",
-        "taking",
-        "since",
-        "heard",
-        "partial",
-        "open",
-        "stands",
+        "received",
+        "handling",
+        "opened_at",
+        "last_active",
+        "partial_since",
+        "open_set_ups",
+        "sessions",
         "sound",
-        "parting",
+        "closing",
     )
 
     def __init__(self, now: float) -> None:
-        self.transport, self.reader = None, messages.Reader()
-        self.came: deque[messages.Message] = deque()  # read, and not taken yet
-        self.taking = False
-        self.since = self.heard = now  # when it came; when a session of it last changed
-        self.partial = 0.0  # since when a message is half here; 0: none is
-        self.open: dict[str, Session] = {}  # set-ups that are owed an answer
-        self.stands: dict[str, Session] = {}
-        self.sound = self.parting = False
+        self.transport: Transport | None = None
+        self.reader = messages.Reader()
+        self.received: deque[messages.Message] = deque()  # read, but not handled yet
+        self.handling = False  # `handle_received` runs for it
+        self.opened_at = self.last_active = now
+        self.partial_since = 0.0  # since when an incomplete message waits for its rest; 0: there is none
+        self.open_set_ups: dict[str, Session] = {}  # owed an answer
+        self.sessions: dict[str, Session] = {}  # established
+        self.sound = False  # a valid set-up or health check came on it
+        self.closing = False
 
 
 class Viewers:
-    """Owns the listener and all connections from viewers. At most `most` of them are held.
+    """Owns the listener and all connections from viewers, at most `max_connections`. The driver's view of
+    viewers.
 
-    Its states: `ready`, then not any more (tests fail, set-ups are taken), then `refusing` (none is taken).
+    Its states: `ready`, then not ready (health checks fail, set-ups are accepted), then `refusing` (set-ups
+    are refused).
     """
 
-    def __init__(self, driver: Driver, loop, timers, most: int, log) -> None:
-        self.driver, self.loop, self.timers, self.most, self.log = driver, loop, timers, most, log
+    def __init__(
+        self, driver: Driver, loop: AbstractEventLoop, timers: Timers, max_connections: int, log: Log
+    ) -> None:
+        self.driver = driver
+        self.loop = loop
+        self.timers = timers
+        self.max_connections = max_connections
+        self.log = log
         start_settings = driver.start_settings
         floors = start_settings["specifics.floor_by_class"]
+        # product -> its lowest rung, and the longest patience that is accepted
         self.products = {
-            p["name"]: (floors[i], PATIENT * p["time_limit"])
+            p["name"]: (floors[i], MAX_PATIENCE * p["time_limit"])
             for i, p in enumerate(start_settings["products"])
         }
-        self.places, self.rungs = (
-            max(1, start_settings["specifics.places"]),
-            len(start_settings["specifics.rung_kb"]),
-        )
+        self.places = max(1, start_settings["specifics.places"])
+        self.rungs = len(start_settings["specifics.rung_kb"])
         self.connections: dict[Transport, Connection] = {}
         self.sessions: dict[str, Session] = {}
-        self.waiting: OrderedDict[str, tuple[float, bytes]] = OrderedDict()  # releases without a connection
-        self.usual: OrderedDict[Connection, None] = OrderedDict()  # those that were served, latest last
-        self.away: OrderedDict[str, None] = OrderedDict()  # viewers moved, who have yet to come again
-        self.listener, self.ready, self.refusing, self.refused = None, False, False, 0
+        # releases without a connection: session -> when it ended, and the message
+        self.undelivered: OrderedDict[str, tuple[float, bytes]] = OrderedDict()
+        self.served: OrderedDict[Connection, None] = OrderedDict()  # connections with a success, latest last
+        self.moved_viewers: OrderedDict[str, None] = OrderedDict()  # who have yet to ask again
+        self.listener = None
+        self.ready = False
+        self.refusing = False
+        self.refused = 0
 
     # ---- connections
 
-    def start(self, listener) -> None:
+    def start(self, listener: socket.socket) -> None:
+        """Accept connections from here on."""
         self.listener, self.ready = listener, True
         self.loop.add_reader(listener.fileno(), self.accept)
-        self.timers.after(LOOK, self.look)
+        self.timers.after(CHECK_INTERVAL_S, self.check_connections)
 
     def accept(self) -> bool:
-        """Take some of those who wait; whether there may be more."""
-        for _ in range(AT_ONCE):
+        """Accept some waiting connections; whether there may be more."""
+        for _ in range(ACCEPTS_PER_TURN):
             try:
                 sock, _ = self.listener.accept()
             except (BlockingIOError, InterruptedError):
                 return False
             except ConnectionError:
-                continue  # it has gone again
+                continue  # the client has gone already
             except OSError as err:
-                # Danger: out of descriptors, and the listener stays readable: make room, come back later.
-                self.log.warning("can't accept", why=err.strerror)
-                if not self.make_room():
+                # Out of descriptors. The listener stays readable, so that without a pause the loop would
+                # spin.
+                self.log.warning("can't accept a connection", why=err.strerror)
+                if not self.free_connection():
                     self.loop.remove_reader(self.listener.fileno())
-                    self.timers.after(0.05, self.again)
+                    self.timers.after(ACCEPT_RETRY_S, self.resume_accepting)
                     return False
                 continue
-            if len(self.connections) >= self.most and not self.make_room():
+            if len(self.connections) >= self.max_connections and not self.free_connection():
                 sock.close()
                 continue
             sock.setblocking(False)
@@ -162,275 +193,309 @@
             self.connections[connection.transport] = connection
         return True
 
-    def again(self) -> None:
+    def resume_accepting(self) -> None:
+        """Read the listener again, unless it was closed meanwhile."""
         if self.listener is not None:
             self.loop.add_reader(self.listener.fileno(), self.accept)
 
-    def make_room(self) -> bool:
-        """Close the connection that will be missed least; False where none may be closed.
+    def free_connection(self) -> bool:
+        """Close the least useful connection; False if none may be closed.
 
-        Danger: the first bytes of who has just come are on their way; closed, that set-up is lost, while
-        whoever asks for nothing comes again. But a crowd that says nothing takes half of the room at most.
+        New connections are spared, since their first bytes are on the way: closed, that set-up would be lost,
+        while a client that has asked for nothing just connects again. But connections without a valid message
+        get half of all at most; beyond that new ones are closed, too.
         """
-        young = time.monotonic() - YOUNG
-        if 2 * sum(not c.sound for c in self.connections.values()) > self.most:
+        young = time.monotonic() - NEW_CONNECTION_S
+        if 2 * sum(not c.sound for c in self.connections.values()) > self.max_connections:
             young = float("inf")
         free = sorted(
-            (c for c in self.connections.values() if not c.open),
-            key=lambda c: (c.sound or c.since > young, bool(c.stands), c.heard),
+            (c for c in self.connections.values() if not c.open_set_ups),
+            key=lambda c: (c.sound or c.opened_at > young, bool(c.sessions), c.last_active),
         )
-        return any(self.close_clear(c, torn=not c.sound) for c in free) or any(
-            self.close_clear(c, torn=True) for c in free
+        return any(self.close_if_clear(c, drop_partial=not c.sound) for c in free) or any(
+            self.close_if_clear(c, drop_partial=True) for c in free
         )
 
-    def close_clear(self, connection: Connection, torn: bool = False) -> bool:
-        """Close a connection unless something is owed on it, or was said on it; whether it is closed.
+    def close_if_clear(self, connection: Connection, drop_partial: bool = False) -> bool:
+        """Close a connection unless something is owed on it, or was received on it; whether it is closed.
 
-        `torn`: a message that is half here doesn't keep it.
+        `drop_partial`: an incomplete message doesn't keep it open.
 
-        The only place where this side closes one. Danger: what lies unread in the kernel is lost with it, and
-        it may be a set-up that was taken; an answer that a slow reader has yet to take is cut.
+        Outside `wind_down` and `close`, nothing else closes connections from this side. Bytes that lie unread
+        in the kernel would be lost with the connection, and may be a set-up; an answer that a slow reader has
+        yet to take would be cut.
         """
         transport = connection.transport
         if transport.over:
             return True
-        self.take_all(connection)
-        if self.owes(connection):
+        self.handle_received(connection)
+        if self.is_owed(connection):
             return False
         if transport.unread():
             transport.readable()
             if transport.over:
                 return True
-            if self.owes(connection) or not connection.parting and transport.unread():
+            if self.is_owed(connection) or not connection.closing and transport.unread():
                 return False
-        if connection.reader.data and not torn and not connection.parting:
+        if connection.reader.buffer and not drop_partial and not connection.closing:
             return False
         self.drop(connection)
         return True
 
-    def owes(self, connection: Connection) -> bool:
-        """Whether a set-up is open there or has yet to be taken, or an answer by one who takes anything."""
-        taken = time.monotonic() - connection.transport.moved
-        return bool(connection.open or connection.came) or bool(connection.transport.queue) and taken < SLOW
+    def is_owed(self, connection: Connection) -> bool:
+        """Whether a set-up there waits for an answer or to be handled, or an answer is being sent to a client
+        that still takes bytes.
+        """
+        stalled_s = time.monotonic() - connection.transport.moved
+        return (
+            bool(connection.open_set_ups or connection.received)
+            or bool(connection.transport.queue)
+            and stalled_s < SLOW_READER_TIMEOUT_S
+        )
 
     def drop(self, connection: Connection) -> None:
+        """Close a connection at once, whatever is open on it."""
         connection.transport.close()
         self.ended(connection.transport, "dropped")
 
     def ended(self, transport: Transport, why: str) -> None:
-        """A connection is gone, and with it the set-ups that were open on it."""
+        """A connection has ended: cancel the set-ups that were open on it."""
         connection = self.connections.pop(transport)
-        self.usual.pop(connection, None)
-        while connection.came:
-            # Danger: a session that stands is over for its viewer, though what said so has ended
-            message = connection.came.popleft()
+        self.served.pop(connection, None)
+        while connection.received:
+            # Releases that were read before the end still count: their sessions are over for the viewers.
+            message = connection.received.popleft()
             if message.kind == messages.RELEASE:
-                self.take(connection, message)
-        for session in list(connection.open.values()):
-            self.give_up(session)
-        for session in connection.stands.values():
+                self.handle_message(connection, message)
+        for session in list(connection.open_set_ups.values()):
+            self.cancel_set_up(session)
+        for session in connection.sessions.values():
             session.connection = None
 
-    def look(self) -> None:
-        """Close what says nothing, ends nothing or has nothing more to say; send releases that wait."""
+    def check_connections(self) -> None:
+        """Runs each `CHECK_INTERVAL_S`: closes connections that are idle, silent or stuck in a message, and
+        sends releases that wait.
+        """
         now = time.monotonic()
         for connection in list(self.connections.values()):
             if connection.transport.unread():
-                connection.transport.readable()  # a busy core: what it said in time counts
-            if connection.parting:
-                self.close_clear(connection)
-            elif not connection.sound and now - connection.since > SILENT:
-                if not self.close_clear(connection, torn=True) and now - connection.since > SILENT + 2 * LOOK:
-                    self.part(connection)  # it goes on saying what is no set-up and no test
-            elif connection.partial and now - connection.partial > SILENT:
-                self.close_clear(connection, torn=True)
-            elif not connection.stands and now - connection.heard > IDLE:
-                self.close_clear(connection)
-        self.flush(now)
-        self.timers.after(LOOK, self.look)
-
-    def part(self, connection: Connection) -> None:
-        """Take no more set-ups from a connection, and close it once nothing is owed on it."""
-        connection.parting = True
-        self.loop.call_soon(self.close_clear, connection)  # what came with this piece is taken first
+                connection.transport.readable()  # on a busy core: what arrived in time counts
+            if connection.closing:
+                self.close_if_clear(connection)
+            elif not connection.sound and now - connection.opened_at > MESSAGE_TIMEOUT_S:
+                if (
+                    not self.close_if_clear(connection, drop_partial=True)
+                    and now - connection.opened_at > MESSAGE_TIMEOUT_S + 2 * CHECK_INTERVAL_S
+                ):
+                    self.begin_close(connection)  # it keeps sending other messages than set-ups and checks
+            elif connection.partial_since and now - connection.partial_since > MESSAGE_TIMEOUT_S:
+                self.close_if_clear(connection, drop_partial=True)
+            elif not connection.sessions and now - connection.last_active > IDLE_TIMEOUT_S:
+                self.close_if_clear(connection)
+        self.send_undelivered(now)
+        self.timers.after(CHECK_INTERVAL_S, self.check_connections)
+
+    def begin_close(self, connection: Connection) -> None:
+        """Accept no more set-ups on a connection, and close it once nothing is owed on it."""
+        connection.closing = True
+        self.loop.call_soon(self.close_if_clear, connection)  # what was received already is handled first
 
     def heard(self, transport: Transport, data: bytes) -> None:
+        """Bytes came on a connection: handle the messages in them."""
         connection = self.connections[transport]
-        connection.came += connection.reader.feed(data)
-        if not connection.reader.data:
-            connection.partial = 0.0
-        elif not connection.partial or len(connection.reader.data) <= len(data):
-            connection.partial = time.monotonic()  # a message that has begun with this piece
-        self.take_all(connection)
-
-    def take_all(self, connection: Connection) -> None:
-        """Take what was read, in its order; what is read meanwhile has the next turn, so that others have
-        theirs.
+        connection.received += connection.reader.feed(data)
+        if not connection.reader.buffer:
+            connection.partial_since = 0.0
+        elif not connection.partial_since or len(connection.reader.buffer) <= len(data):
+            connection.partial_since = time.monotonic()  # the message began with these bytes
+        self.handle_received(connection)
+
+    def handle_received(self, connection: Connection) -> None:
+        """Handle the messages that were received, in order. Those read meanwhile wait for the next turn of
+        the loop, so that other connections have theirs.
         """
-        if connection.taking:
+        if connection.handling:
             return
-        connection.taking = True
+        connection.handling = True
         try:
-            for _ in range(len(connection.came)):
-                if connection.came:
-                    self.take(connection, connection.came.popleft())
+            for _ in range(len(connection.received)):
+                if connection.received:
+                    self.handle_message(connection, connection.received.popleft())
         finally:
-            connection.taking = False
-        if connection.came:
-            self.loop.call_soon(self.take_all, connection)
-        elif connection.reader.why and not connection.parting:
-            self.part(connection)
+            connection.handling = False
+        if connection.received:
+            self.loop.call_soon(self.handle_received, connection)
+        elif connection.reader.error and not connection.closing:
+            self.begin_close(connection)
 
-    def gone(self, session: Session) -> bool:
-        """Whether a session's viewer has ended its connection, or given the set-up up there.
+    def viewer_gone(self, session: Session) -> bool:
+        """Whether a session's viewer has ended its connection, or released the session there.
 
-        Danger: on a busy core either lies unread, and an allocation would go out for nobody. So what was said
-        is read now; it is taken in its turn.
+        On a busy core the end may lie unread, and an allocation would go out for nobody. So bytes are read
+        here; their messages are handled in their turn.
         """
         connection = session.connection
-        transport, taking = connection.transport, connection.taking
+        transport, handling = connection.transport, connection.handling
         if transport.dead():
             return True
-        connection.taking = True
-        while len(connection.came) < AHEAD and transport.unread():
+        connection.handling = True
+        while len(connection.received) < MAX_READ_AHEAD and transport.unread():
             transport.readable()
-        connection.taking = taking
-        if connection.came and not taking:
-            self.loop.call_soon(self.take_all, connection)
+        connection.handling = handling
+        if connection.received and not handling:
+            self.loop.call_soon(self.handle_received, connection)
         return transport.over or any(
-            m.kind == messages.RELEASE and m.session == session.id for m in connection.came
+            m.kind == messages.RELEASE and m.session == session.id for m in connection.received
         )
 
-    def take(self, connection: Connection, message: messages.Message) -> None:
+    def handle_message(self, connection: Connection, message: messages.Message) -> None:
+        """Handle a health check, a set-up or a release; other messages are ignored."""
         kind, name = message.kind, message.session
-        if kind == messages.TEST:
-            connection.sound, connection.heard = True, time.monotonic()
+        if kind == messages.HEALTH_CHECK:
+            connection.sound, connection.last_active = True, time.monotonic()
             passed = b"\1" if self.ready else b"\0"
-            connection.transport.send(messages.message(messages.TESTED, name, cause=passed))
+            connection.transport.send(messages.encode(messages.HEALTH_REPLY, name, cause=passed))
         elif kind == messages.SET_UP:
-            if not connection.parting:
-                self.set_up(connection, message)
+            if not connection.closing:
+                self.handle_set_up(connection, message)
         elif kind == messages.RELEASE:
             session = self.sessions.get(name)
             cause = message.fields.get(messages.CAUSE, b"")
-            connection.transport.send(messages.message(messages.HEARD, name))
+            connection.transport.send(messages.encode(messages.RELEASE_ACK, name))
             if session is not None:
-                connection.heard = time.monotonic()
-                if session.stands:
-                    self.left(session, cause[0] if len(cause) == 1 else 16)
+                connection.last_active = time.monotonic()
+                if session.established:
+                    self.release_session(session, cause[0] if len(cause) == 1 else NORMAL_CLEARING)
                 else:
-                    self.give_up(session)
+                    self.cancel_set_up(session)
 
     def wind_down(self, last: bool = False) -> int:
-        """Take no new connections and no set-ups, and close those on which nothing is owed, said or half
-        said: the ones without a session first. How many are left. `last`: there is no time for more.
+        """Accept no new connections, refuse set-ups, and close connections on which nothing is owed, received
+        or incomplete, those without a session first. Returns how many are left. `last`: there is no time for
+        more, so that only those with bytes to send are kept.
         """
-        self.shut()
+        self.stop_listening()
         if not self.refusing:
             for connection in list(self.connections.values()):
                 if connection.transport.unread():
                     connection.transport.readable()  # it came in time, while this front was busy
             self.refusing = True
-        for connection in sorted(self.connections.values(), key=lambda c: bool(c.stands)):
-            if not self.close_clear(connection, torn=last) and last and not connection.transport.queue:
+        for connection in sorted(self.connections.values(), key=lambda c: bool(c.sessions)):
+            if (
+                not self.close_if_clear(connection, drop_partial=last)
+                and last
+                and not connection.transport.queue
+            ):
                 self.drop(connection)
         return len(self.connections)
 
     # ---- set-ups
 
-    def set_up(self, connection: Connection, message: messages.Message) -> None:
+    def handle_set_up(self, connection: Connection, message: messages.Message) -> None:
+        """Hand a set-up to the driver as a play; refuse one that is invalid; adopt a session that runs."""
         name = message.session
         known = self.sessions.get(name)
         try:
-            facts, figures, limit = self.read(message)
+            info, attributes, limit = self.parse_set_up(message)
         except SetUpError as err:
-            self.log.warning("a set-up that can't be taken", session=name, why=err.full_message)
+            self.log.warning("set-up is refused as invalid", session=name, why=err.full_message)
             if known is None or known.connection is not connection:
-                connection.transport.send(messages.message(messages.RELEASE, name, cause=bytes((WRONG,))))
+                connection.transport.send(
+                    messages.encode(messages.RELEASE, name, cause=bytes((INVALID_CONTENTS,)))
+                )
             return
-        if "at" in figures:
+        if "at" in attributes:
             if known is None:
-                connection.sound, connection.heard = True, time.monotonic()
-                self.resume(connection, facts, figures["at"])
+                connection.sound, connection.last_active = True, time.monotonic()
+                self.resume(connection, info, attributes["at"])
             return
         if known is not None:
-            # Danger: it must disturb neither the first, whose answer is on its way, nor others here.
+            # A second set-up with the id of an open one gets no answer: it must disturb neither the first,
+            # whose answer is on its way, nor other set-ups of its own connection.
             if known.connection is not connection:
-                self.part(connection)
+                self.begin_close(connection)
             return
-        connection.sound, connection.heard = True, time.monotonic()
+        connection.sound, connection.last_active = True, time.monotonic()
         if self.refusing:
-            # Danger: clients that never stop sending would keep the connection open until the process is
-            # killed, and what is unanswered then is lost. A refusal does no harm: they ask another front.
+            # Clients that never stop sending would keep the connection open until the process is killed, and
+            # what is unanswered then is lost. A refusal does no harm: they ask another front.
             self.refused += 1
-            connection.transport.send(messages.message(messages.RELEASE, name, cause=bytes((DECLINED,))))
+            connection.transport.send(messages.encode(messages.RELEASE, name, cause=bytes((CONGESTION,))))
             return
         now = self.driver.clock.now()
         session = Session(name, self, connection, message.fields[messages.DESCRIPTION])
-        active_play = ActivePlay(facts, facts, session, now + limit, now)
+        active_play = ActivePlay(info, info, session, now + limit, now)
         session.active_play = active_play
-        self.sessions[name] = connection.open[name] = session
-        moved = self.away.pop(facts.viewer, self) is None
-        self.driver.accept_request(active_play, figures.get("again") == "1", moved)
+        self.sessions[name] = connection.open_set_ups[name] = session
+        moved = self.moved_viewers.pop(info.viewer, self) is None
+        self.driver.accept_request(active_play, attributes.get("again") == "1", moved)
 
-    def read(self, message: messages.Message) -> tuple[PlayInfo, dict[str, str], int]:
-        """Facts, figures and patience of a set-up; `SetUpError` for what the module must not hear."""
+    def parse_set_up(self, message: messages.Message) -> tuple[PlayInfo, dict[str, str], int]:
+        """Info, attributes and patience (in ticks) of a set-up; raises `SetUpError` for what the module must
+        not get.
+        """
         fields = message.fields
         missing = [
             code
-            for code in (messages.PRODUCT, messages.TITLE, messages.FIGURES, messages.DESCRIPTION)
+            for code in (messages.PRODUCT, messages.TITLE, messages.ATTRIBUTES, messages.DESCRIPTION)
             if code not in fields
         ]
         if missing:
-            raise SetUpError(f"parameters {missing} are missing")
+            raise SetUpError(f"set-up lacks parameters {missing}")
         if not int(message.session, 16):
-            raise SetUpError("no session")
+            raise SetUpError("session id must not be 0")
         product = self.products.get(fields[messages.PRODUCT].decode("latin-1"))
         if product is None:
-            raise SetUpError("an unknown product")
-        if not TITLE.fullmatch(fields[messages.TITLE]):
-            raise SetUpError("a title that can't be read")
-        text = fields[messages.FIGURES].decode("latin-1")
+            raise SetUpError(f"product {fields[messages.PRODUCT][:40]!r} is unknown")
+        if not TITLE_ID.fullmatch(fields[messages.TITLE]):
+            raise SetUpError(f"title must be 16 hex digits, not {fields[messages.TITLE][:40]!r}")
+        text = fields[messages.ATTRIBUTES].decode("latin-1")
         pairs = [part.partition(":") for part in text.split(";") if part]
-        figures = {key: value for key, _, value in pairs}
-        if len(figures) != len(pairs) or not VIEWER.fullmatch(figures.get("viewer", "")):
-            raise SetUpError("figures that can't be read")
-        home, copies, top = (self.figure(figures.get(key, ""), key) for key in ("home", "copies", "top"))
+        attributes = {key: value for key, _, value in pairs}
+        if len(attributes) != len(pairs) or not VIEWER_ID.fullmatch(attributes.get("viewer", "")):
+            raise SetUpError("attributes must name each key once, and a hexadecimal viewer")
+        home, copies, top = (
+            self.parse_number(attributes.get(key, ""), key) for key in ("home", "copies", "top")
+        )
         if home >= self.places or not 0 < copies <= self.places or top >= self.rungs:
-            raise SetUpError("figures out of range")
+            raise SetUpError(
+                f"home {home}, copies {copies} or top {top} is out of range "
+                f"with {self.places} places and {self.rungs} rungs"
+            )
         patience = 0
-        if "at" not in figures:
+        if "at" not in attributes:
             patience = to_tenths(
-                self.figure(fields.get(messages.PATIENCE, b"").decode("latin-1"), "patience")
+                self.parse_number(fields.get(messages.PATIENCE, b"").decode("latin-1"), "patience")
             )
             if not 0 < patience <= product[1]:
-                raise SetUpError("a patience out of range")
-        facts = PlayInfo(
+                raise SetUpError(f"patience must be above 0 and at most {product[1] // 10} ms")
+        info = PlayInfo(
             message.session,
             fields[messages.PRODUCT].decode("latin-1"),
-            figures["viewer"],
+            attributes["viewer"],
             fields[messages.TITLE].decode("latin-1"),
             top,
             product[0],
             home,
             copies,
         )
-        return facts, figures, patience
+        return info, attributes, patience
 
-    def figure(self, text: str, name: str) -> int:
+    def parse_number(self, text: str, name: str) -> int:
+        """A number of a set-up; raises `SetUpError`, which names it, if `text` is none."""
         if not NUMBER.fullmatch(text):
-            raise SetUpError(f"{name} is no number")
+            raise SetUpError(f"{name} must be a number of at most 9 digits, not {text[:40]!r}")
         return int(text)
 
-    def resume(self, connection: Connection, facts: PlayInfo, node: str) -> None:
-        """A session that plays at its node already: adopted, without an answer."""
-        session = Session(facts.play, self, connection)
-        if not self.driver.nodes.adopt(facts.play, node):
-            self.log.warning("a session at a node that is not listed", node=node)
+    def resume(self, connection: Connection, info: PlayInfo, node: str) -> None:
+        """Adopt a session that runs at its node already; it gets no answer."""
+        session = Session(info.play, self, connection)
+        if not self.driver.nodes.adopt(info.play, node):
+            self.log.warning("existing session names a node that is not listed", node=node)
             return
-        session.stands = True
-        self.sessions[facts.play] = connection.stands[facts.play] = session
-        self.driver.resume_play(facts, facts, node)
+        session.established = True
+        self.sessions[info.play] = connection.sessions[info.play] = session
+        self.driver.resume_play(info, info, node)
 
     def resumed(self, active_play: ActivePlay) -> None:
         """The driver has made the play of an adopted session."""
@@ -438,110 +503,118 @@
         if session is not None:
             session.active_play = active_play
 
-    def give_up(self, session: Session) -> None:
-        """The viewer waits no more: no answer is owed."""
+    def cancel_set_up(self, session: Session) -> None:
+        """The viewer has given up its set-up: it is owed no answer."""
         self.forget(session)
         self.driver.viewer_left(session.active_play)
 
-    def left(self, session: Session, cause: int) -> None:
-        """The viewer ends a session that stands; it is owed no release."""
+    def release_session(self, session: Session, cause: int) -> None:
+        """The viewer ends an established session; it is owed no release."""
         self.forget(session)
         active_play = session.active_play
         self.driver.nodes.release(active_play.node, session.id, cause)
         self.driver.play_ended(session.id, "withdrawn")
 
     def forget(self, session: Session) -> None:
+        """Remove a session from the tables; its connection counts as active until now."""
         self.sessions.pop(session.id, None)
         if session.connection is not None:
-            session.connection.open.pop(session.id, None)
-            session.connection.stands.pop(session.id, None)
-            session.connection.heard = time.monotonic()
+            session.connection.open_set_ups.pop(session.id, None)
+            session.connection.sessions.pop(session.id, None)
+            session.connection.last_active = time.monotonic()
 
-    # ---- answers, as the driver tells them
+    # ---- answers, as the driver asks for them
 
-    def answer(self, active_play: ActivePlay, data: bytes) -> Session | None:
+    def send_answer(self, active_play: ActivePlay, data: bytes) -> Session | None:
+        """Send the one answer to a set-up; None if none is owed any more."""
         session = self.sessions.get(active_play.info.play)
-        if session is None or session.stands:
+        if session is None or session.established:
             return None
         connection = session.connection
         self.forget(session)
         connection.transport.send(data)
-        if connection.parting and not connection.open:
-            self.loop.call_soon(self.close_clear, connection)  # the play has yet to be put down as one here
+        if connection.closing and not connection.open_set_ups:
+            self.loop.call_soon(self.close_if_clear, connection)  # after `play` has noted the session there
         return session
 
     def play(self, active_play: ActivePlay, number: int) -> None:
-        data = messages.message(
+        """Answer a set-up with its node's description."""
+        data = messages.encode(
             messages.ANSWER, active_play.info.play, description=active_play.exchange.answer
         )
-        session = self.answer(active_play, data)
+        session = self.send_answer(active_play, data)
         if session is not None:
-            session.stands, session.description, session.answer = True, b"", b""
-            self.sessions[session.id] = session.connection.stands[session.id] = session
-            self.usual[session.connection] = None
-            self.usual.move_to_end(session.connection)
-            self.flush(time.monotonic())
+            session.established, session.description, session.answer = True, b"", b""
+            self.sessions[session.id] = session.connection.sessions[session.id] = session
+            self.served[session.connection] = None
+            self.served.move_to_end(session.connection)
+            self.send_undelivered(time.monotonic())
 
     def decline(self, active_play: ActivePlay, away: int) -> None:
-        values = {"cause": bytes((DECLINED,))}
+        """Refuse a set-up; the viewer may ask again after `away` ticks, if that is above 0."""
+        values = {"cause": bytes((CONGESTION,))}
         if away > 0:
-            values["away"] = str(-(-away // 10)).encode()
-        self.answer(active_play, messages.message(messages.RELEASE, active_play.info.play, **values))
+            values["retry_after"] = str(-(-away // 10)).encode()
+        self.send_answer(active_play, messages.encode(messages.RELEASE, active_play.info.play, **values))
 
     def fail(self, active_play: ActivePlay, why: str) -> None:
-        self.answer(
-            active_play, messages.message(messages.RELEASE, active_play.info.play, cause=bytes((FAILED,)))
+        """Answer a set-up that has failed."""
+        self.send_answer(
+            active_play,
+            messages.encode(messages.RELEASE, active_play.info.play, cause=bytes((TEMPORARY_FAILURE,))),
         )
 
     def moved(self, active_play: ActivePlay) -> None:
-        self.away[active_play.info.viewer] = None
-        if len(self.away) > 1000:  # far more than come back at one time
-            self.away.popitem(last=False)
+        """Tell a viewer to ask again: its session moves."""
+        self.moved_viewers[active_play.info.viewer] = None
+        if len(self.moved_viewers) > MAX_MOVED_VIEWERS:
+            self.moved_viewers.popitem(last=False)
         session = self.sessions.get(active_play.info.play)
         if session is not None and session.connection is not None:
-            # Danger: it may be over at its node already, and then a release is owed: the node's side tells.
-            session.connection.transport.send(messages.message(messages.MOVE, session.id))
-
-    def over(self, play: str, cause: int, owed: bool = True) -> None:
-        """A session that stood has come to its end at its node."""
-        if owed:
-            self.tell(play, messages.message(messages.RELEASE, play, cause=bytes((cause,))))
+            # The session may be over at its node already, and then a release is owed, which `Nodes` asks for.
+            # So it is not forgotten here.
+            session.connection.transport.send(messages.encode(messages.MOVE, session.id))
+
+    def session_ended(self, play: str, cause: int, release_owed: bool = True) -> None:
+        """A session has ended at its node: release its viewer, unless no release is owed."""
+        if release_owed:
+            self.send_release(play, messages.encode(messages.RELEASE, play, cause=bytes((cause,))))
         elif play in self.sessions:
             self.forget(self.sessions[play])
 
-    def tell(self, play: str, data: bytes) -> None:
-        """Send what ends a session: on its own connection, or else on one that is known to be a viewer's."""
+    def send_release(self, play: str, data: bytes) -> None:
+        """Send a session's release on its own connection, or else on one that is known to be a viewer's."""
         session = self.sessions.get(play)
-        if session is None or not session.stands:
+        if session is None or not session.established:
             return
         connection = session.connection
         self.forget(session)
         if connection is None or not connection.transport.send(data):
-            self.waiting[play] = time.monotonic(), data
-            self.flush(time.monotonic())
-
-    def flush(self, now: float) -> None:
-        """Releases that lost their connection go out on another one."""
-        while self.waiting:
-            play, (since, data) = next(iter(self.waiting.items()))
-            connection = next(reversed(self.usual), None)
-            if connection is None and now - since > SOON:
-                # Danger: a bad viewer's connection would swallow it; one with a sound message hardly.
+            self.undelivered[play] = time.monotonic(), data
+            self.send_undelivered(time.monotonic())
+
+    def send_undelivered(self, now: float) -> None:
+        """Send releases that have lost their connection on another one."""
+        while self.undelivered:
+            play, (since, data) = next(iter(self.undelivered.items()))
+            connection = next(reversed(self.served), None)
+            if connection is None and now - since > RELEASE_WAIT_S:
+                # A misbehaving client would discard the release; one that sent a valid message hardly does.
                 connection = next(
-                    (c for c in reversed(self.connections.values()) if c.sound and not c.parting), None
+                    (c for c in reversed(self.connections.values()) if c.sound and not c.closing), None
                 )
-            if now - since > KEPT or (connection is not None and connection.transport.send(data)):
-                del self.waiting[play]
+            if now - since > RELEASE_EXPIRY_S or (connection is not None and connection.transport.send(data)):
+                del self.undelivered[play]
             elif connection is not None:
-                self.usual.pop(connection, None)
+                self.served.pop(connection, None)
                 connection.sound = False
             else:
                 return
 
-    def shut(self) -> None:
-        """Take no new connections, but for those that the kernel has taken already."""
+    def stop_listening(self) -> None:
+        """Close the listener after accepting the connections that the kernel has queued."""
         if self.listener is not None:
-            rounds = SHUT  # a queue is shorter, a flood has no end
+            rounds = MAX_LAST_ACCEPT_TURNS  # more than the queue holds; a flood has no end
             while rounds and self.accept():
                 rounds -= 1
             self.loop.remove_reader(self.listener.fileno())
@@ -549,7 +622,8 @@
             self.listener = None
 
     def close(self) -> None:
-        self.shut()
+        """Close the listener and all connections."""
+        self.stop_listening()
         for transport in list(self.connections):
             transport.close()
         self.connections.clear()
--- a/curlewhall/standins/platform.py
+++ b/curlewhall/standins/platform.py
@@ -76,7 +76,7 @@
             while piece := await reader.read(65536):
                 for message in codec.feed(piece):
                     self.take(writer, message)
-                assert not codec.why, codec.why
+                assert not codec.error, codec.error
         except ConnectionError:
             pass
         finally:
@@ -324,13 +324,13 @@
         text = ";".join(f"{key}:{value}" for key, value in figures.items())
         self.platform.saw("viewer", "set-up", session, figures.get("at", ""))
         self.send(
-            messages.message(
+            messages.encode(
                 messages.SET_UP,
                 session,
                 product=product.encode(),
                 title=title.encode(),
                 patience=patience.encode(),
-                figures=text.encode(),
+                attributes=text.encode(),
                 description=b"what " + session.encode() + b" wants",
             )
         )
@@ -338,7 +338,7 @@
 
     def release(self, session: str, cause: int = 16) -> None:
         self.platform.saw("viewer", "release", session, cause)
-        self.send(messages.message(messages.RELEASE, session, cause=bytes((cause,))))
+        self.send(messages.encode(messages.RELEASE, session, cause=bytes((cause,))))
 
     async def hear(self, session: str, count: int = 1, kinds=ENDINGS):
         """The `count`-th message of these kinds for a session."""
--- a/tests/relay/deployment.py
+++ b/tests/relay/deployment.py
@@ -14,22 +14,22 @@
 from curlewhall.relay.serve import Relay
 from curlewhall.standins.platform import RST, Platform
 
-HELD = []  # for as long as these tests run
+RESERVED_PORTS = []  # sockets, bound for as long as the tests run
 
 
 def free_port():
-    """A port that nobody else is given, in another process either: it stays bound here, and whoever is told
-    of it may listen there all the same (SO_REUSEADDR).
+    """A port that no other process gets: it stays bound here, and the process under test can listen on it all
+    the same (SO_REUSEADDR).
     """
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind(("127.0.0.1", 0))
-    HELD.append(sock)
+    RESERVED_PORTS.append(sock)
     return sock.getsockname()[1]
 
 
 def settings(**changes):
-    """The platform's settings; changes by path, as permissions__max_attempts=2."""
+    """The platform's settings; changes by their path, as permissions__max_attempts=2."""
     whole = json.loads(CONFIG)
     whole["permissions"] |= {"connect-timeout-ms": 250.0, "idle-close-ms": 15000.0, "streams-per-conn": 100}
     for path, value in changes.items():
@@ -42,7 +42,7 @@
 
 
 class Clock:
-    """Stands still until it is advanced; all timers of the relay go by it. For `time.monotonic`."""
+    """Replaces `time.monotonic` by a clock that stands still until it is advanced."""
 
     def __init__(self):
         self.now = time.monotonic()
@@ -52,22 +52,24 @@
 
 
 class Client:
-    """A raw client: what it does is done when the call returns, and the relay has seen nothing of it yet."""
-
-    def __init__(self, place):
-        self.place, self.reader, self.heard = place, messages.Reader(), []
-        self.sock = socket.create_connection(("127.0.0.1", place.port))
-        self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # else a small piece waits for an ACK
-
-    def ask(self, session="", product="cheap", patience="3000", **figures):
-        session = session or self.place.platform.name()
-        self.say(set_up(session, product, patience, **figures))
+    """A blocking client: a call returns once its bytes are sent, before the relay has read them."""
+
+    def __init__(self, env):
+        self.env, self.reader, self.received = env, messages.Reader(), []
+        self.sock = socket.create_connection(("127.0.0.1", env.port))
+        self.sock.setsockopt(
+            socket.IPPROTO_TCP, socket.TCP_NODELAY, 1
+        )  # otherwise a small piece waits for an ACK
+
+    def ask(self, session="", product="cheap", patience="3000", **attributes):
+        session = session or self.env.platform.name()
+        self.send(set_up(session, product, patience, **attributes))
         return session
 
     def release(self, session):
-        self.say(messages.message(messages.RELEASE, session, cause=b"\x10"))
+        self.send(messages.encode(messages.RELEASE, session, cause=b"\x10"))
 
-    def say(self, raw):
+    def send(self, raw):
         self.sock.sendall(raw)
 
     def close(self, how="close"):
@@ -79,11 +81,11 @@
         self.sock.close()
 
     def closed(self):
-        """Whether the relay has closed by now; what it said before is read."""
+        """Whether the relay has closed the connection; reads what was sent before."""
         self.sock.setblocking(False)
         try:
             while piece := self.sock.recv(65536):
-                self.heard += self.reader.feed(piece)
+                self.received += self.reader.feed(piece)
             return True
         except BlockingIOError:
             return False
@@ -91,46 +93,50 @@
             return True
 
     def answers(self, session):
-        """What came for a session: its answers, not what a release is answered with."""
+        """The answers and releases received for a session, without acknowledgements."""
         self.closed()
         ends = messages.ANSWER, messages.RELEASE
-        return [m for m in self.heard if m.session == session and m.kind in ends]
+        return [m for m in self.received if m.session == session and m.kind in ends]
 
 
-def set_up(session, product="cheap", patience="3000", description=b"d", **figures):
-    """A whole set-up, as bytes."""
-    figures = {"home": 0, "copies": 4, "top": 3, "viewer": session} | figures
-    text = ";".join(f"{key}:{value}" for key, value in figures.items())
-    return messages.message(
+def set_up(session, product="cheap", patience="3000", description=b"d", **attributes):
+    """An encoded set-up."""
+    attributes = {"home": 0, "copies": 4, "top": 3, "viewer": session} | attributes
+    text = ";".join(f"{key}:{value}" for key, value in attributes.items())
+    return messages.encode(
         messages.SET_UP,
         session,
         product=product.encode(),
         title=b"00000000000000aa",
         patience=patience.encode(),
-        figures=text.encode(),
+        attributes=text.encode(),
         description=description,
     )
 
 
-class Handovers:
-    """Rows in `platform.seen` for what the relay hands to its nodes, in the order in which it writes."""
+class RelayWrites:
+    """Records in `platform.seen` what the relay writes to its nodes, in the order in which it writes."""
 
-    def __init__(self, place):
-        self.seen, self.nodes = place.platform.seen, place.relay.nodes
-        self.go, self.end_told, self.ended = self.nodes.go, self.nodes.end_told, self.nodes.ended
-        self.nodes.go, self.nodes.end_told, self.nodes.ended = self.hand_over, self.tear_down, self.close
+    def __init__(self, env):
+        self.seen, self.nodes = env.platform.seen, env.relay.nodes
+        self.send_set_up = self.nodes.send_set_up
+        self.note_teardown = self.nodes.note_teardown
+        self.ended = self.nodes.ended
+        self.nodes.send_set_up = self.record_set_up
+        self.nodes.note_teardown = self.record_teardown
+        self.nodes.ended = self.record_close
 
-    def hand_over(self, set_up, connection):
-        self.go(set_up, connection)
+    def record_set_up(self, set_up, connection):
+        self.send_set_up(set_up, connection)
         if set_up.state == nodes.SENT:
-            self.seen.append(("relay", "handed over", set_up.play, (connection.node.id, id(connection))))
+            self.seen.append(("relay", "sent", set_up.play, (connection.node.id, id(connection))))
 
-    def tear_down(self, node, play, went):
-        if went:
+    def record_teardown(self, node, play, sent):
+        if sent:
             self.seen.append(("relay", "torn down", play, node.id))
-        self.end_told(node, play, went)
+        self.note_teardown(node, play, sent)
 
-    def close(self, transport, why):
+    def record_close(self, transport, why):
         self.seen.append(("relay", "closed", "", id(self.nodes.connections.get(transport))))
         self.ended(transport, why)
 
@@ -139,27 +145,27 @@
 
 
 def overlapping(seen):
-    """Sessions that the relay handed to a node while an earlier set-up of theirs was out at another."""
+    """Sessions that the relay sent to a node while an earlier set-up of theirs was open at another."""
     out, wrong = {}, []
     for side, what, session, value in seen:
         node, connection = out.get(session, ("", 0))
-        if what == "handed over":
+        if what == "sent":
             if node:
                 wrong.append(f"{session} is out at {node} and {value[0]}")
             out[session] = value
         elif what == "closed":
-            out = {play: place for play, place in out.items() if place[1] != value}
+            out = {play: sent_to for play, sent_to in out.items() if sent_to[1] != value}
         elif what == "torn down" and node == value or what in ("answered", "refused") and node == side:
             del out[session]
     return wrong
 
 
 class Deployment:
-    """`relay` on `port`; `platform` around it. `clock`: a clock that stands still, see `advance`."""
+    """`relay` on `port`, and `platform` around it. `does`: how nodes answer. `clock`: see `advance`."""
 
     def __init__(self, nodes=("n0", "n1", "n2", "n3"), does="serve", clock=None, **changes):
         self.platform, self.changes, self.does, self.names = Platform(), changes, does, nodes
-        self.lines, self.clock = [], clock
+        self.log_lines, self.clock = [], clock
 
     def config(self, port, sockets=256):
         members = [self.platform.member(name) for name in self.platform.nodes]
@@ -179,37 +185,39 @@
         await self.platform.channel.start()
         self.port, self.file = free_port(), tmp_path / "config.json"
         self.file.write_text(json.dumps(self.config(self.port, sockets)))
-        given = start_settings.read(
+        loaded = start_settings.read_config(
             {"RELAY_CONFIG": str(self.file), "RELAY_LISTEN": f"127.0.0.1:{self.port}"}
         )
-        self.relay = Relay(given, Log(self))
+        self.relay = Relay(loaded, Log(self))
         if self.clock is not None:
             self.relay.driver.clock.source = self.clock
-            self.relay.timers.arm = lambda due: None  # they ring in `advance` alone
-        self.relay.driver.module.chance = lambda below: 0  # the first holder; cold nodes let plays through
+            self.relay.timers.arm = lambda due: None  # they expire in `advance` alone
+        self.relay.driver.module.chance = (
+            lambda below: 0
+        )  # always the first holder; cold nodes get plays, too
         for node in self.relay.driver.module.nodes.values():
             node.cold_from = float("-inf")
         return self
 
     def write(self, text):
-        self.lines.append(text)
+        self.log_lines.append(text)
 
     def flush(self):
         pass
 
-    async def until(self, true):
-        """Wait until something is so; what is waited for comes over sockets of this loop."""
+    async def wait_until(self, condition):
+        """Wait for a condition that traffic on sockets of this loop brings about."""
         async with asyncio.timeout(15):
-            while not true():
+            while not condition():
                 await asyncio.sleep(0.005)
 
     async def settle(self):
-        """Let all that lies on the sockets of this loop be read and answered."""
-        for _ in range(12):  # more than the turns of a way there and back, over streams' own tasks
+        """Let the loop read and answer all that was sent on its sockets."""
+        for _ in range(12):  # more turns than a request and its answer take, with the tasks of streams
             await asyncio.sleep(0)
 
     async def advance(self, span):
-        """Let the clock go on, and every timer of the relay ring at its time."""
+        """Advance the clock; every timer of the relay expires at its time."""
         timers, until = self.relay.timers, self.clock.now + span
         await self.settle()
         while timers.heap and timers.heap[0][0] <= until:
@@ -219,7 +227,7 @@
         self.clock.now = until
 
     def sent(self, session=None):
-        """Set-ups that came to nodes: node and session."""
+        """Set-ups received by nodes, as (node, session)."""
         return [(row[0], row[2]) for row in self.platform.of("set-up", session) if row[0] != "viewer"]
 
     def close(self):
@@ -229,8 +237,8 @@
 
 @contextlib.asynccontextmanager
 async def deployment(tmp_path, sockets=256, **facts):
-    place = Deployment(**facts)
+    env = Deployment(**facts)
     try:
-        yield await place.start(tmp_path, sockets)
+        yield await env.start(tmp_path, sockets)
     finally:
-        place.close()
+        env.close()
--- a/tests/relay/test_codecs.py
+++ b/tests/relay/test_codecs.py
@@ -1,4 +1,4 @@
-"""Both codecs: tables of sound and unsound messages, byte for byte, and any bytes at all."""
+"""Both codecs: valid and invalid messages, byte for byte, and random bytes."""
 
 import pytest
 from hypothesis import given
@@ -7,22 +7,22 @@
 from curlewhall.codecs import messages, rtsp
 
 NAME = "9b1f03aa5c7e2d41"
-SET_UP = messages.message(
+SET_UP = messages.encode(
     messages.SET_UP,
     NAME,
     product=b"paid",
     patience=b"1500",
     title=b"7f3a9c21e0b4d655",
-    figures=b"home:4;copies:3",
+    attributes=b"home:4;copies:3",
     description=b"v=0",
 )
-ANSWER = messages.message(messages.ANSWER, NAME, description=b"\x00\xff" * 100)
+ANSWER = messages.encode(messages.ANSWER, NAME, description=b"\x00\xff" * 100)
 BINARY = [
     SET_UP,
     ANSWER,
-    messages.message(messages.RELEASE, NAME, cause=b"\x10"),
-    messages.message(messages.HEARD, NAME),
-    messages.message(messages.TEST, NAME, cause=b"\0"),
+    messages.encode(messages.RELEASE, NAME, cause=b"\x10"),
+    messages.encode(messages.RELEASE_ACK, NAME),
+    messages.encode(messages.HEALTH_CHECK, NAME, cause=b"\0"),
 ]
 TEXT = [
     rtsp.request("SETUP", "7f3a9c21e0b4d655", NAME, 1, b"a body\r\n\r\nwith lines", X_Rung="2"),
@@ -34,11 +34,11 @@
 HEAD = b"CSeq: 1\r\nSession: 9b1f03aa5c7e2d41\r\nContent-Length: 0\r\n"
 
 
-def test_example_of_the_page():
+def test_encoded_examples_match_byte_for_byte():
     wanted = b"".join(
         (bytes.fromhex("001a 01 9b1f03aa5c7e2d41 40 0004"), b"paid", bytes.fromhex("42 0004"), b"1500")
     )
-    got = messages.message(messages.SET_UP, NAME, product=b"paid", patience=b"1500")
+    got = messages.encode(messages.SET_UP, NAME, product=b"paid", patience=b"1500")
     assert got[2:] == wanted[2:] and int.from_bytes(got[:2], "big") == len(got) - 2
     text = rtsp.request("SETUP", "7f3a9c21e0b4d655", NAME, 1, b"12", Subject="paid", X_Patience="1500")
     assert text == (
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize(("codec", "raw"), [(messages.Reader, BINARY), (rtsp.Reader, TEXT)])
-def test_cut_up_in_any_way(codec, raw):
+def test_messages_split_anywhere_decode_alike(codec, raw):
     stream = b"".join(raw)
     at_once = codec().feed(stream)
     assert len(at_once) == len(raw)
@@ -57,7 +57,7 @@
         reader, found = codec(), []
         for at in range(0, len(stream), size):
             found += reader.feed(stream[at : at + size])
-        assert found == at_once and not reader.why and not reader.data
+        assert found == at_once and not reader.error and not reader.buffer
 
 
 @pytest.mark.parametrize(
@@ -71,14 +71,14 @@
         b"\x00\x09\x02",
         b"GET / HTTP/1.1\r\n",  # types
         b"\x00\x0a\x01" + bytes(8) + b"\x40",
-        b"\x00\x0c\x01" + bytes(8) + b"\x40\x00\x01",  # torn parameters
-        b"\x00\x0f\x01" + bytes(8) + b"\x40\x00\x00" * 2,  # one twice
+        b"\x00\x0c\x01" + bytes(8) + b"\x40\x00\x01",  # partial parameters
+        b"\x00\x0f\x01" + bytes(8) + b"\x40\x00\x00" * 2,  # a repeated parameter
     ],
 )
-def test_binary_that_is_refused(raw):
+def test_invalid_binary_message_ends_decoding(raw):
     reader = messages.Reader()
     assert reader.feed(SET_UP + raw + SET_UP) == messages.Reader().feed(SET_UP)
-    assert reader.why and not reader.data and reader.feed(SET_UP) == []
+    assert reader.error and not reader.buffer and reader.feed(SET_UP) == []
 
 
 @pytest.mark.parametrize(
@@ -100,21 +100,21 @@
         b"RTSP/1.0 200 OK\r\n" + b"X: y\r\n" * 4000,
     ],
 )
-def test_rtsp_that_is_refused(raw):
+def test_invalid_rtsp_message_ends_decoding(raw):
     reader = rtsp.Reader()
     assert len(reader.feed(TEXT[0] + raw)) == 1
-    assert reader.why and not reader.data and reader.feed(TEXT[0]) == []
+    assert reader.error and not reader.buffer and reader.feed(TEXT[0]) == []
 
 
 @pytest.mark.parametrize(("text", "cause"), [("cause=16", 16), ("cause=41; text=x", 41), ("", 0), ("why", 0)])
-def test_cause_of_a_release(text, cause):
+def test_teardown_cause_is_read_from_its_reason(text, cause):
     (message,) = rtsp.Reader().feed(rtsp.request("TEARDOWN", "x", NAME, 2, Reason=text))
     assert message.cause() == cause
 
 
-def test_too_long_to_be_written():
+def test_encoding_a_message_over_the_limit_raises():
     with pytest.raises(ValueError, match="too long"):
-        messages.message(messages.ANSWER, NAME, description=b"x" * 16384)
+        messages.encode(messages.ANSWER, NAME, description=b"x" * 16384)
 
 
 @pytest.mark.parametrize(("codec", "sound"), [(messages.Reader, SET_UP), (rtsp.Reader, TEXT[0])])
@@ -129,11 +129,11 @@
         max_size=20,
     )
 )
-def test_any_bytes(codec, sound, pieces):
-    """A message, a need for more, or one refusal, in bounded memory."""
+def test_random_bytes_yield_messages_or_one_error_in_bounded_memory(codec, sound, pieces):
+    """The error stays as it is once it is set."""
     reader = codec()
     for piece in pieces:
-        before = reader.why
+        before = reader.error
         found = reader.feed(piece)
-        assert len(reader.data) <= 16384 and not (before and found)
-        assert reader.why == before or not before
+        assert len(reader.buffer) <= 16384 and not (before and found)
+        assert reader.error == before or not before
