--- a/tests/relay/test_crossings.py
+++ b/tests/relay/test_crossings.py
@@ -1,6 +1,6 @@
-"""What if it comes between two lines? Each crossing is forced: bytes lie in a socket that the relay has not
-read, a connection comes up when the test says so, the clock goes on when it is told to. The table of them
-is in `docs/relay/crossings.md`.
+"""Events that cross: something arrives between two steps of the relay. Each crossing is forced: bytes lie in
+a socket that the relay has not read, a connection comes up when the test says so, and the clock goes on when
+it is advanced. They are listed in `docs/relay/crossings.md`.
 """
 
 import asyncio
@@ -26,20 +26,20 @@
     return stands
 
 
-class Doors:
-    """Connections to nodes that come up only when they are let in."""
+class HeldConnects:
+    """Holds connections to nodes back until `complete` is called."""
 
     def __init__(self, monkeypatch):
         self.waiting, self.connect = [], nodes.connect
-        monkeypatch.setattr(nodes, "connect", self.ask)
+        monkeypatch.setattr(nodes, "connect", self.hold)
 
-    def ask(self, loop, address, owner):
+    def hold(self, loop, address, owner):
         transport = self.connect(loop, address, owner)
         loop.remove_writer(transport.sock.fileno())
         self.waiting.append(transport)
         return transport
 
-    def let_in(self):
+    def complete(self):
         waiting, self.waiting = self.waiting, []
         for transport in waiting:
             if not transport.over:
@@ -47,84 +47,87 @@
 
 
 @pytest.fixture
-def doors(monkeypatch):
-    return Doors(monkeypatch)
+def held_connects(monkeypatch):
+    return HeldConnects(monkeypatch)
 
 
-# ---- a client that has gone: no allocation begins for it any more
+# ---- a client that has gone gets no allocation any more
 
 
-def beside(client, state, place):
-    """Bring a client's connection into a state, its set-up under way."""
+def prepare(client, state, env):
+    """Bring a client's connection, on which a set-up is open, into a state."""
     if state == "other set-ups open":
         client.ask()
-    elif state == "no set-up taken any more":
-        client.say(b"\xff" * 100)
-    elif state == "a set-up under another's id":
-        other = next(iter(place.relay.viewers.sessions))
-        client.say(set_up(other))
+    elif state == "no set-ups accepted any more":
+        client.send(b"\xff" * 100)
+    elif state == "a set-up with another client's id":
+        other = next(iter(env.relay.viewers.sessions))
+        client.send(set_up(other))
     elif state == "half a message":
-        client.say(set_up("e" * 16)[:30])
+        client.send(set_up("e" * 16)[:30])
 
 
-WHOLE = ("plain", "other set-ups open", "a set-up under another's id")
-STATES = (*WHOLE, "no set-up taken any more", "half a message")  # after these a release can't be told apart
-GONE = [
+WHOLE = ("plain", "other set-ups open", "a set-up with another client's id")
+# in the last two a release can't be recognised
+STATES = (*WHOLE, "no set-ups accepted any more", "half a message")
+WAYS_TO_LEAVE = [
     (how, state)
     for how in ("close", "half-close", "reset", "release")
     for state in (WHOLE if how == "release" else STATES)
 ]
 
 
-def go(client, how, name):
-    """A client ends its connection, or gives its set-up up; it lies in the socket, unread."""
+def leave(client, how, name):
+    """End a client's connection or release its set-up; the relay has not read it."""
     if how == "release":
         client.release(name)
     else:
         client.close(how)
 
 
-@pytest.mark.parametrize("how, state", GONE)
+@pytest.mark.parametrize("how, state", WAYS_TO_LEAVE)
 @looped
-async def test_gone_while_its_set_up_waits_for_a_connection(tmp_path, doors, how, state):
-    """The end lies in the socket, unread, as the connection comes up: a core was busy."""
-    async with deployment(tmp_path, nodes=("n0",)) as place:
-        first, client = Client(place), Client(place)
+async def test_viewer_gone_while_its_set_up_waits_for_a_connection_gets_no_allocation(
+    tmp_path, held_connects, how, state
+):
+    """The end lies in the socket, unread, as the connection comes up, as on a busy core."""
+    async with deployment(tmp_path, nodes=("n0",)) as env:
+        first, client = Client(env), Client(env)
         other = first.ask()
-        await place.settle()
+        await env.settle()
         name = client.ask()
-        await place.settle()
-        beside(client, state, place)
-        await place.settle()
-        go(client, how, name)
-        doors.let_in()
-        await place.settle()
-        gone = {s for _, s in place.sent()}
+        await env.settle()
+        prepare(client, state, env)
+        await env.settle()
+        leave(client, how, name)
+        held_connects.complete()
+        await env.settle()
+        gone = {s for _, s in env.sent()}
         lives = how == "release" and state == "other set-ups open"
         assert other in gone and name not in gone and len(gone) == 1 + lives
         first.close()
 
 
-@pytest.mark.parametrize("how, state", GONE)
+@pytest.mark.parametrize("how, state", WAYS_TO_LEAVE)
 @looped
-async def test_gone_while_its_first_allocation_is_out(tmp_path, clock, how, state):
-    """No further one begins, whatever else is open on its connection, or was said there."""
-    async with deployment(tmp_path, does="silent", clock=clock) as place:
-        first, client = Client(place), Client(place)
+async def test_viewer_gone_during_its_first_allocation_gets_no_second(tmp_path, clock, how, state):
+    """Whatever else is open on its connection, or was received there."""
+    async with deployment(tmp_path, does="silent", clock=clock) as env:
+        first, client = Client(env), Client(env)
         first.ask(product="paid")
-        await place.settle()
+        await env.settle()
         name = client.ask()
-        await place.settle()
-        beside(client, state, place)
-        await place.settle()
-        go(client, how, name)
-        await place.advance(3.2)
-        assert len(place.sent(name)) == 1 and place.platform.of("given up", name)
-        assert not place.relay.driver.plays and not place.platform.broken()
+        await env.settle()
+        prepare(client, state, env)
+        await env.settle()
+        leave(client, how, name)
+        await env.advance(3.2)
+        assert len(env.sent(name)) == 1 and env.platform.of("given up", name)
+        assert not env.relay.driver.plays and not env.platform.broken()
 
 
 @pytest.mark.parametrize(
-    "how, behind",
+    "how, between",
     [
         ("close", ""),
         ("close", "set-up"),
@@ -135,339 +138,347 @@
     ],
 )
 @looped
-async def test_gone_before_its_set_up_is_read(tmp_path, how, behind):
-    """Set-up and end lie in the socket together: the relay was busy, and begins nothing. Connections to nodes
-    are up and idle, so that nothing else would keep a set-up back. `behind`: what lies between the two.
+async def test_viewer_gone_before_its_set_up_is_read_gets_no_allocation(tmp_path, how, between):
+    """Set-up and end lie in the socket together. Connections to nodes are up and idle, so that nothing else
+    would delay a set-up. `between`: what lies between the two.
     """
-    async with deployment(tmp_path) as place:
-        first, client = Client(place), Client(place)
+    async with deployment(tmp_path) as env:
+        first, client = Client(env), Client(env)
         served = [first.ask() for _ in range(3)]
-        await place.settle()
+        await env.settle()
         names, other = [client.ask() for _ in range(3)], set_up("e" * 16)
         if how == "close":
-            client.say({"": b"", "set-up": other, "half": other[:20]}[behind])
+            client.send({"": b"", "set-up": other, "half": other[:20]}[between])
             client.close()
         else:
-            if behind == "16 kB":
-                client.say(messages.message(messages.RELEASE, "e" * 16, cause=b"\x10" * 8100) * 2)
+            if between == "16 kB":
+                client.send(messages.encode(messages.RELEASE, "e" * 16, cause=b"\x10" * 8100) * 2)
             for name in names:
                 client.release(name)
-            client.say(other[:20] if behind == "half" else b"")
-        await place.settle()
-        await place.until(lambda: len(place.relay.viewers.connections) == 1 + (how == "release"))
-        assert sorted(s for _, s in place.sent()) == served and place.relay.driver.plays.keys() == set(served)
+            client.send(other[:20] if between == "half" else b"")
+        await env.settle()
+        await env.wait_until(lambda: len(env.relay.viewers.connections) == 1 + (how == "release"))
+        assert sorted(s for _, s in env.sent()) == served and env.relay.driver.plays.keys() == set(served)
         first.close()
 
 
 @looped
-async def test_gone_with_more_unread_before_its_end_than_one_read_takes(tmp_path, doors):
-    """The end lies behind 60 kB: a peek shows bytes, and the end is seen all the same."""
-    async with deployment(tmp_path, nodes=("n0",)) as place:
-        client = Client(place)
+async def test_end_behind_60_kb_of_unread_bytes_is_noticed(tmp_path, held_connects):
+    """One read takes 16 kB, and a peek shows bytes only."""
+    async with deployment(tmp_path, nodes=("n0",)) as env:
+        client = Client(env)
         name = client.ask()
-        await place.settle()
-        client.say(messages.message(messages.TEST, "0" * 16, cause=b"\0") * 4000)
+        await env.settle()
+        client.send(messages.encode(messages.HEALTH_CHECK, "0" * 16, cause=b"\0") * 4000)
         client.close()
-        doors.let_in()
-        await place.settle()
-        assert not place.sent(name)
+        held_connects.complete()
+        await env.settle()
+        assert not env.sent(name)
 
 
 @pytest.mark.parametrize("how", ["close", "half-close", "reset", "release"])
 @looped
-async def test_gone_as_a_refusal_comes_from_the_node(tmp_path, how):
-    """Its end lies unread as the node's refusal is read: no further allocation begins, though the connections
-    to the other nodes are up.
+async def test_viewer_gone_as_a_node_refuses_gets_no_further_allocation(tmp_path, how):
+    """Its end lies unread as the node's refusal is read. Connections to the other nodes are up, so that a
+    further allocation could begin at once.
     """
-    async with deployment(tmp_path, does="silent") as place:
-        client, nodes_side = Client(place), place.relay.nodes
+    async with deployment(tmp_path, does="silent") as env:
+        client, nodes_side = Client(env), env.relay.nodes
         for node in nodes_side.nodes.values():
             nodes_side.open(node)
-        await place.settle()
+        await env.settle()
         name = client.ask()
-        await place.settle()
-        go(client, how, name)
-        (first,) = (node for node, session in place.sent() if session == name)
+        await env.settle()
+        leave(client, how, name)
+        (first,) = (node for node, session in env.sent() if session == name)
         (connection,) = (c for c in nodes_side.connections.values() if name in c.set_ups)
-        answer = place.platform.nodes[first].answer(453, name)
-        nodes_side.take(connection, rtsp.Reader().feed(answer)[0])
-        await place.settle()
-        assert place.sent(name) == [(first, name)] and not place.relay.driver.plays
-        assert place.relay.driver.counts["left"] == 1 and not place.relay.viewers.sessions
+        answer = env.platform.nodes[first].answer(453, name)
+        nodes_side.handle_message(connection, rtsp.Reader().feed(answer)[0])
+        await env.settle()
+        assert env.sent(name) == [(first, name)] and not env.relay.driver.plays
+        assert env.relay.driver.counts["left"] == 1 and not env.relay.viewers.sessions
 
 
 @looped
-async def test_a_release_that_was_read_ahead_counts_though_its_connection_ends(tmp_path):
-    """It lies unread as a set-up of its connection is sent further, and then the connection is reset."""
-    async with deployment(tmp_path, does=["serve", "silent"]) as place:
-        client = Client(place)
+async def test_release_read_ahead_counts_though_its_connection_is_reset(tmp_path):
+    """It is read as another set-up of its connection is retried, and then the connection is reset."""
+    async with deployment(tmp_path, does=["serve", "silent"]) as env:
+        client = Client(env)
         stands = client.ask()
-        await place.settle()
+        await env.settle()
         name = client.ask()
-        await place.settle()
-        assert place.platform.standing().keys() == {stands}
-        (before, *_), (client_side,) = place.sent(name), place.relay.viewers.connections.values()
+        await env.settle()
+        assert env.platform.standing().keys() == {stands}
+        (before, *_), (client_side,) = env.sent(name), env.relay.viewers.connections.values()
         client.release(stands)
-        (set_up_out,) = [c for c in place.relay.nodes.connections.values() if name in c.set_ups]
-        answer = place.platform.nodes[before[0]].answer(453, name)
-        place.relay.nodes.take(set_up_out, rtsp.Reader().feed(answer)[0])
-        assert client_side.came and stands in place.relay.viewers.sessions
+        (set_up_out,) = [c for c in env.relay.nodes.connections.values() if name in c.set_ups]
+        answer = env.platform.nodes[before[0]].answer(453, name)
+        env.relay.nodes.handle_message(set_up_out, rtsp.Reader().feed(answer)[0])
+        assert client_side.received and stands in env.relay.viewers.sessions
         client_side.transport.end("reset")
-        await place.settle()
-        assert place.platform.of("cut", stands) and not place.platform.standing()
-        assert not place.relay.driver.plays and not place.platform.broken()
+        await env.settle()
+        assert env.platform.of("cut", stands) and not env.platform.standing()
+        assert not env.relay.driver.plays and not env.platform.broken()
         client.close()
 
 
 @pytest.mark.parametrize("how", ["close", "half-close", "reset", "release"])
 @looped
-async def test_gone_as_its_answer_comes_from_the_node(tmp_path, how):
-    """Its end lies unread as the node's answer is: nobody would ever release what stands there."""
-    async with deployment(tmp_path, does="silent", nodes=("n0",)) as place:
-        client, node = Client(place), place.platform.nodes["n0"]
+async def test_viewer_gone_as_its_node_answers_has_its_session_torn_down(tmp_path, how):
+    """Its end lies unread as the node's answer is read; nothing would release the session later."""
+    async with deployment(tmp_path, does="silent", nodes=("n0",)) as env:
+        client, node = Client(env), env.platform.nodes["n0"]
         name = client.ask(product="paid")
-        await place.settle()
-        go(client, how, name)
-        (connection,) = place.relay.nodes.connections.values()
+        await env.settle()
+        leave(client, how, name)
+        (connection,) = env.relay.nodes.connections.values()
         node.standing[name] = node.came[name]
         node.say("answered", name, b"made")
-        place.relay.nodes.take(connection, rtsp.Reader().feed(node.answer(200, name, b"made"))[0])
-        await place.settle()
-        assert place.platform.of("cut", name) and not place.platform.standing()
-        assert not place.relay.driver.plays and not place.relay.viewers.sessions
+        env.relay.nodes.handle_message(connection, rtsp.Reader().feed(node.answer(200, name, b"made"))[0])
+        await env.settle()
+        assert env.platform.of("cut", name) and not env.platform.standing()
+        assert not env.relay.driver.plays and not env.relay.viewers.sessions
 
 
 @looped
-async def test_gone_while_the_module_waits_for_a_report(tmp_path, clock):
+async def test_viewer_gone_during_a_probe_gets_no_allocation(tmp_path, clock):
     async with deployment(
         tmp_path, clock=clock, report={"how": "on_probe", "fields": ["cpu", "x1"]}, nodes=("n0",)
-    ) as place:
-        answer, place.platform.nodes["n0"].answer = place.platform.nodes["n0"].answer, lambda *_: b""
-        client = Client(place)
+    ) as env:
+        answer, env.platform.nodes["n0"].answer = env.platform.nodes["n0"].answer, lambda *_: b""
+        client = Client(env)
         name = client.ask()
-        await place.settle()
-        assert place.platform.of("asked for load") and not place.sent()
-        place.platform.nodes["n0"].answer = answer
+        await env.settle()
+        assert env.platform.of("asked for load") and not env.sent()
+        env.platform.nodes["n0"].answer = answer
         client.close()
-        await place.advance(1.0)
-        assert not place.sent(name) and not place.relay.driver.plays
+        await env.advance(1.0)
+        assert not env.sent(name) and not env.relay.driver.plays
 
 
-# ---- a connection that is to be closed, and bytes on it that nobody has read
+# ---- a connection that is to be closed, with unread bytes on it
 
 
-async def heard_all(place, client, sent):
-    """A slow reader gets all that was written to it."""
+async def read_all(env, client, sent):
+    """Read slowly, and expect all messages that were sent."""
     for _ in range(1000):
         client.closed()
-        await place.settle()
-        if len(client.heard) == sent:
+        await env.settle()
+        if len(client.received) == sent:
             break
-    assert len(client.heard) == sent
+    assert len(client.received) == sent
 
 
-def idle(place):
-    place.relay.viewers.look()
+def check(env):
+    env.relay.viewers.check_connections()
 
 
-def room(place):
-    while place.relay.viewers.make_room():
+def free_connections(env):
+    while env.relay.viewers.free_connection():
         pass
 
 
-def leave(place):
-    place.relay.viewers.ready = False
-    place.relay.leave()
+def shut_down(env):
+    env.relay.viewers.ready = False
+    env.relay.wind_down()
 
 
-CLOSERS = {"idle": (idle, 6.5), "silent": (idle, 2.5), "room is made": (room, 0.0), "leaving": (leave, 0.0)}
+# reason for the close -> what closes, and seconds before
+CLOSERS = {
+    "idle": (check, 6.5),
+    "silent": (check, 2.5),
+    "connections are freed": (free_connections, 0.0),
+    "shutdown": (shut_down, 0.0),
+}
 
 
 @pytest.mark.parametrize("why", CLOSERS)
 @looped
-async def test_a_set_up_written_just_before_its_connection_is_closed_is_answered(tmp_path, clock, why):
+async def test_set_up_unread_when_its_connection_is_to_be_closed_is_answered(tmp_path, clock, why):
     closer, after = CLOSERS[why]
-    async with deployment(tmp_path, clock=clock) as place:
-        client = Client(place)
+    async with deployment(tmp_path, clock=clock) as env:
+        client = Client(env)
         if why != "silent":
             served = client.ask()
-            await place.settle()
+            await env.settle()
             client.release(served)
-        await place.settle()
+        await env.settle()
         clock.now += after
         name = client.ask()
-        closer(place)  # in this very turn: nothing of it was read
-        await place.settle()
+        closer(env)  # in the same turn of the loop: the set-up is unread
+        await env.settle()
         (answer,) = client.answers(name)
-        assert answer.kind == ANSWER and [s for _, s in place.sent()].count(name) == 1
+        assert answer.kind == ANSWER and [s for _, s in env.sent()].count(name) == 1
         client.close()
 
 
 @pytest.mark.parametrize("why", CLOSERS)
 @looped
-async def test_an_answer_that_its_reader_has_yet_to_take_is_not_cut(tmp_path, clock, why):
+async def test_connection_with_an_unsent_answer_is_not_closed(tmp_path, clock, why):
     closer, after = CLOSERS[why]
-    async with deployment(tmp_path, clock=clock) as place:
-        client = Client(place)
-        await place.settle()
-        (connection,) = place.relay.viewers.connections.values()
+    async with deployment(tmp_path, clock=clock) as env:
+        client = Client(env)
+        await env.settle()
+        (connection,) = env.relay.viewers.connections.values()
         connection.sound = why != "silent"
-        reply = messages.message(messages.TESTED, "0" * 16, cause=b"\1")
+        reply = messages.encode(messages.HEALTH_REPLY, "0" * 16, cause=b"\1")
         sent = 0
         while not connection.transport.queue:  # the kernel's buffers are full
             sent += connection.transport.send(reply * 1000) and 1000
         clock.now += after
         connection.transport.moved = clock.now
-        closer(place)
-        await place.settle()
-        await heard_all(place, client, sent)
+        closer(env)
+        await env.settle()
+        await read_all(env, client, sent)
         client.close()
 
 
 @looped
-async def test_a_first_set_up_that_comes_late_and_after_the_look_is_taken(tmp_path, clock, monkeypatch):
-    """A client that said nothing for 2 s is to be closed; its set-up comes as the look has found nothing."""
-    async with deployment(tmp_path, clock=clock) as place:
-        client = Client(place)
-        await place.settle()
-        clock.now += viewers.SILENT + 0.1
-        unread, looks = Transport.unread, []
+async def test_set_up_that_arrives_after_the_unread_check_is_answered(tmp_path, clock, monkeypatch):
+    """A client silent for 2 s is to be closed; its set-up arrives just after the check found nothing."""
+    async with deployment(tmp_path, clock=clock) as env:
+        client = Client(env)
+        await env.settle()
+        clock.now += viewers.MESSAGE_TIMEOUT_S + 0.1
+        unread, results = Transport.unread, []
 
-        def late(transport):
-            looks.append(unread(transport))
-            if len(looks) == 1:
+        def unread_then_ask(transport):
+            results.append(unread(transport))
+            if len(results) == 1:
                 client.ask("e" * 16)
-            return looks[-1]
+            return results[-1]
 
-        monkeypatch.setattr(Transport, "unread", late)
-        place.relay.viewers.look()
-        await place.settle()
-        assert not looks[0] and [m.kind for m in client.answers("e" * 16)] == [ANSWER]
+        monkeypatch.setattr(Transport, "unread", unread_then_ask)
+        env.relay.viewers.check_connections()
+        await env.settle()
+        assert not results[0] and [m.kind for m in client.answers("e" * 16)] == [ANSWER]
         client.close()
 
 
 @looped
-async def test_who_says_only_what_is_no_set_up_gets_its_close_in_time(tmp_path, clock):
-    """And says it without an end: there is always more than one read takes."""
-    async with deployment(tmp_path, clock=clock) as place:
-        client, look = Client(place), place.relay.viewers.look
-        noise = messages.message(messages.RELEASE, "e" * 16, cause=b"\x10") * 6000
+async def test_client_that_sends_no_set_up_endlessly_is_closed_in_time(tmp_path, clock):
+    """There is always more than one read takes."""
+    async with deployment(tmp_path, clock=clock) as env:
+        client, check_connections = Client(env), env.relay.viewers.check_connections
+        noise = messages.encode(messages.RELEASE, "e" * 16, cause=b"\x10") * 6000
 
-        def noisy():
+        def send_noise_and_check():
             with contextlib.suppress(OSError):
                 client.sock.send(noise)
-            look()
+            check_connections()
 
-        place.relay.viewers.look = noisy
-        await place.advance(3.0)
+        env.relay.viewers.check_connections = send_noise_and_check
+        await env.advance(3.0)
         assert client.closed()
 
 
 @looped
-async def test_what_was_said_just_before_a_close_is_answered_wholly(tmp_path, clock):
-    """Its answers are more than the kernel takes from this side at once."""
-    async with deployment(tmp_path, clock=clock) as place:
-        client = Client(place)
-        await place.settle()
-        (connection,) = place.relay.viewers.connections.values()
+async def test_messages_unread_when_a_connection_is_to_be_closed_are_all_answered(tmp_path, clock):
+    """The answers are more than the kernel's buffers hold."""
+    async with deployment(tmp_path, clock=clock) as env:
+        client = Client(env)
+        await env.settle()
+        (connection,) = env.relay.viewers.connections.values()
         connection.sound = True
         connection.transport.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
         client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
-        test, sent = messages.message(messages.TEST, "0" * 16, cause=b"\0"), 0
+        test, sent = messages.encode(messages.HEALTH_CHECK, "0" * 16, cause=b"\0"), 0
         while not connection.transport.queue:
-            client.say(test * 500)
+            client.send(test * 500)
             sent += 500
-            assert not place.relay.viewers.close_clear(connection)  # it reads, answers, and keeps it
-        await heard_all(place, client, sent)
+            assert not env.relay.viewers.close_if_clear(connection)  # it reads, answers and stays open
+        await read_all(env, client, sent)
         client.close()
 
 
 @looped
-async def test_who_reads_nothing_is_closed_in_the_end(tmp_path, clock):
-    async with deployment(tmp_path, clock=clock) as place:
-        client = Client(place)
-        await place.settle()
-        (connection,) = place.relay.viewers.connections.values()
+async def test_client_that_reads_nothing_is_closed_after_the_slow_reader_timeout(tmp_path, clock):
+    async with deployment(tmp_path, clock=clock) as env:
+        client = Client(env)
+        await env.settle()
+        (connection,) = env.relay.viewers.connections.values()
         connection.sound = True
         while not connection.transport.queue:
             connection.transport.send(b"\0" * 10_000)
-        await place.advance(viewers.IDLE + 1)
-        assert place.relay.viewers.connections
-        await place.advance(viewers.SLOW)
-        assert not place.relay.viewers.connections
+        await env.advance(viewers.IDLE_TIMEOUT_S + 1)
+        assert env.relay.viewers.connections
+        await env.advance(viewers.SLOW_READER_TIMEOUT_S)
+        assert not env.relay.viewers.connections
         client.close()
 
 
 @looped
-async def test_half_a_message_costs_no_set_up_that_is_whole(tmp_path, clock):
-    """A byte a second: the rest comes while an earlier set-up is out, and is answered like any other."""
-    async with deployment(tmp_path, clock=clock, does="silent", nodes=("n0",)) as place:
-        client = Client(place)
+async def test_set_up_completed_late_is_answered_while_an_earlier_one_is_open(tmp_path, clock):
+    """The rest of the message comes later than a message may take."""
+    async with deployment(tmp_path, clock=clock, does="silent", nodes=("n0",)) as env:
+        client = Client(env)
         client.ask(product="paid")
         name = "e" * 16
         raw = set_up(name)
-        client.say(raw[:40])
-        await place.advance(2.6)  # far longer than a message may take
-        place.platform.nodes["n0"].does = "serve"
-        client.say(raw[40:])
-        await place.settle()
+        client.send(raw[:40])
+        await env.advance(2.6)  # longer than a message may take
+        env.platform.nodes["n0"].does = "serve"
+        client.send(raw[40:])
+        await env.settle()
         assert [m.kind for m in client.answers(name)] == [ANSWER]
         client.close()
 
 
 @looped
-async def test_a_byte_a_second_gets_its_close_in_time(tmp_path, clock):
-    async with deployment(tmp_path, clock=clock) as place:
-        client = Client(place)
+async def test_client_that_sends_a_byte_a_second_is_closed_in_time(tmp_path, clock):
+    async with deployment(tmp_path, clock=clock) as env:
+        client = Client(env)
         for byte in set_up("e" * 16)[:3]:
-            client.say(bytes((byte,)))
-            await place.advance(1.0)
+            client.send(bytes((byte,)))
+            await env.advance(1.0)
         assert client.closed()
 
 
 @pytest.mark.parametrize("first", ["refused", "given up", "given up before it was sent", "released", "ended"])
 @looped
-async def test_the_same_set_up_again_after_a_short_while(tmp_path, clock, first):
-    """Whatever became of the first: the second is a play of its own, answered once, never out beside it."""
-    async with deployment(tmp_path, clock=clock, nodes=("n0",)) as place:
-        node, client = place.platform.nodes["n0"], Client(place)
+async def test_repeated_set_up_id_is_a_new_play_once_the_first_is_over(tmp_path, clock, first):
+    """It is answered once, and never open at the same time as the first."""
+    async with deployment(tmp_path, clock=clock, nodes=("n0",)) as env:
+        node, client = env.platform.nodes["n0"], Client(env)
         node.does = {"refused": "full", "given up": "silent"}.get(first, "serve")
         name = client.ask()
         if first != "given up before it was sent":
-            await place.settle()
+            await env.settle()
         if first == "ended":
             node.end(name, 16)
         elif first != "refused":
             client.release(name)
-        await place.advance(1.1)  # a node that was full is passed over for 1 s
+        await env.advance(1.1)  # a node that was full gets no plays for 1 s
         node.does = "serve"
         before = len(client.answers(name))
         client.ask(name)
-        await place.settle()
+        await env.settle()
         assert [m.kind for m in client.answers(name)[before:]] == [ANSWER]
-        assert place.platform.standing() == {name: "n0"} and not place.platform.broken()
+        assert env.platform.standing() == {name: "n0"} and not env.platform.broken()
         client.close()
 
 
-@pytest.mark.parametrize("flood", ["tests", "releases", "set-ups", "set-ups taken back", "half messages"])
+@pytest.mark.parametrize(
+    "flood", ["health checks", "releases", "set-ups", "set-ups with releases", "half messages"]
+)
 @looped
-async def test_a_flood_on_one_connection_starves_no_other(tmp_path, flood):
-    """As much as the socket takes, again and again, while a usual viewer is served."""
+async def test_flood_on_one_connection_does_not_starve_another(tmp_path, flood):
+    """One client fills its socket again and again while another requests plays."""
 
     def piece(number):
         name = f"{number + (1 << 40):016x}"
-        asked, test = set_up(name), messages.message(messages.TEST, name, cause=b"\0")
-        back = messages.message(messages.RELEASE, name, cause=b"\x10")
+        asked, test = set_up(name), messages.encode(messages.HEALTH_CHECK, name, cause=b"\0")
+        release = messages.encode(messages.RELEASE, name, cause=b"\x10")
         return {
-            "tests": test,
-            "releases": back,
+            "health checks": test,
+            "releases": release,
             "set-ups": asked,
-            "set-ups taken back": asked + back,
+            "set-ups with releases": asked + release,
             "half messages": asked[:30],
         }[flood]
 
-    async with deployment(tmp_path) as place:
-        bad, usual, sent = Client(place), Client(place), 0
+    async with deployment(tmp_path) as env:
+        bad, usual, sent = Client(env), Client(env), 0
         bad.sock.setblocking(False)
         for _ in range(20):
             name = usual.ask()
@@ -477,43 +488,43 @@
                 try:
                     bad.sock.send(raw)
                 except BlockingIOError:
-                    bad.closed()  # it reads whatever is sent to it
+                    bad.closed()  # it reads all that is sent to it
                 except OSError:
-                    bad = Client(place)  # it was closed, and comes again
+                    bad = Client(env)  # it was closed, and connects again
                     bad.sock.setblocking(False)
                 await asyncio.sleep(0)
             (answer,) = usual.answers(name)
-            assert answer.kind == ANSWER or flood.startswith("set-ups")  # whose plays fill the streams
+            assert answer.kind == ANSWER or flood.startswith("set-ups")  # then plays use up all streams
             usual.release(name)
-        assert sent > 200 and not place.relay.driver.counts["faults"]
+        assert sent > 200 and not env.relay.driver.counts["faults"]
         usual.close()
         bad.close()
 
 
-# ---- leaving
+# ---- shutdown
 
 
 @pytest.mark.parametrize("seed", range(12))
 @looped
-async def test_bytes_at_any_moment_of_a_wind_down(tmp_path, clock, seed):
-    """A drawn course of what clients do, from before SIGTERM until the process is over: what was written to a
-    connection that the relay had not closed by then is answered exactly once, or was given up by its client.
+async def test_every_set_up_received_during_a_shutdown_is_answered_once(tmp_path, clock, seed):
+    """Random actions of clients from before SIGTERM to the end of the shutdown: a set-up on a connection that
+    was not closed by then is answered exactly once, unless its client gave it up.
     """
     draw = random.Random(seed)
-    async with deployment(tmp_path, clock=clock, does=["serve"]) as place:
-        relay, clients, asked, lost = place.relay, [], {}, set()
-        told = False
+    async with deployment(tmp_path, clock=clock, does=["serve"]) as env:
+        relay, clients, asked, lost = env.relay, [], {}, set()
+        stopped = False
         until = clock.now + 4.5
-        while not relay.over.is_set() and clock.now < until:
-            for node in place.platform.nodes.values():
+        while not relay.stopped.is_set() and clock.now < until:
+            for node in env.platform.nodes.values():
                 node.does = draw.choice(["serve", "serve", "serve", "silent", "full", "break"])
             for _ in range(draw.randrange(6)):
                 may_open = relay.viewers.listener is not None
                 if may_open and (not clients or draw.random() < 0.2):
-                    clients.append(Client(place))
+                    clients.append(Client(env))
                 client = draw.choice(clients) if clients else None
                 if client is None or client in lost or client.closed():
-                    continue  # it sees the close before it writes
+                    continue  # a client that sees the close sends nothing
                 act = draw.random()
                 if act < 0.85:
                     name = client.ask(
@@ -522,8 +533,8 @@
                     )
                     asked[name] = client
                 elif act < 0.89:
-                    client.say(set_up("e" * 16)[: draw.randrange(1, 40)])
-                    lost.add(client)  # it says nothing more; what it asked before is owed
+                    client.send(set_up("e" * 16)[: draw.randrange(1, 40)])
+                    lost.add(client)  # it sends no more; its set-ups before are owed an answer
                 elif act < 0.97 and asked:
                     name = draw.choice(list(asked))
                     asked[name].closed() or asked.pop(name).release(name)
@@ -531,13 +542,13 @@
                     client.close(draw.choice(["close", "reset"]))
                     lost.add(client)
                     asked = {n: c for n, c in asked.items() if c is not client}
-            if not told and len(asked) > 20:
+            if not stopped and len(asked) > 20:
                 relay.stop()
-                told = True
+                stopped = True
             if draw.random() < 0.5:
-                await place.advance(draw.choice([0.001, 0.01, 0.05, 0.15]))
+                await env.advance(draw.choice([0.001, 0.01, 0.05, 0.15]))
             else:
-                clock.now += draw.choice([0.002, 0.05, 0.4])  # a busy core: what was written lies there
+                clock.now += draw.choice([0.002, 0.05, 0.4])  # a busy core: nothing is read meanwhile
                 relay.timers.ring()
             out = [
                 play
@@ -545,16 +556,16 @@
                 for play, set_up in c.set_ups.items()
                 if set_up.state == nodes.SENT
             ]
-            assert len(out) == len(set(out))  # rule 2, as the relay has written it
-        if not told:
+            assert len(out) == len(set(out))  # rule 2, as far as the relay has written requests
+        if not stopped:
             relay.stop()
-        await place.advance(4.0)
-        assert relay.over.is_set()
+        await env.advance(4.0)
+        assert relay.stopped.is_set()
         unanswered = {n: len(c.answers(n)) for n, c in asked.items() if len(c.answers(n)) != 1}
-        # A node may read a set-up before another reads the TEARDOWN that was written first: see `out`.
-        wrong = [why for why in place.platform.broken() if " is out at " not in why]
-        paid = [row[2] for row in place.platform.of("set-up") if row[0] != "viewer" and row[3][0] == "paid"]
-        full = [row[2] for row in place.platform.of("refused") if row[3] == "full"]
+        # Nodes may read requests in another order than they were written, so `out` above checks that rule.
+        wrong = [why for why in env.platform.broken() if " is out at " not in why]
+        paid = [row[2] for row in env.platform.of("set-up") if row[0] != "viewer" and row[3][0] == "paid"]
+        full = [row[2] for row in env.platform.of("refused") if row[3] == "full"]
         assert len(asked) > 10 and not unanswered and not wrong
         assert all(paid.count(play) <= 1 + full.count(play) for play in paid)
         for client in clients:
@@ -562,106 +573,108 @@
 
 
 @looped
-async def test_a_set_up_written_just_after_the_last_answer_of_a_wind_down_is_answered(tmp_path, clock):
-    """Nothing is owed on its connection as the next round closes it: what lies there is read first."""
-    async with deployment(tmp_path, clock=clock, does="silent", nodes=("n0",)) as place:
-        relay, client = place.relay, Client(place)
+async def test_set_up_sent_after_the_last_answer_of_a_shutdown_is_answered(tmp_path, clock):
+    """The next round of the shutdown closes its connection, on which nothing is owed any more."""
+    async with deployment(tmp_path, clock=clock, does="silent", nodes=("n0",)) as env:
+        relay, client = env.relay, Client(env)
         first = client.ask(patience="1500")
-        await place.settle()
+        await env.settle()
         relay.stop()
-        await place.advance(1.0)
+        await env.advance(1.0)
         assert relay.viewers.refusing and not client.closed()
-        clock.now += 0.6  # the first one's time is over
+        clock.now += 0.6  # the first one's patience is over
         relay.timers.ring()
         late = client.ask()
-        for _ in range(3):  # nothing is read between these
+        for _ in range(3):  # nothing is read between these rounds
             clock.now += 0.002
             relay.timers.ring()
-        await place.advance(0.5)
+        await env.advance(0.5)
         assert [len(client.answers(name)) for name in (first, late)] == [1, 1] and client.closed()
-        assert relay.over.is_set() and not place.sent(late)
+        assert relay.stopped.is_set() and not env.sent(late)
 
 
 @looped
-async def test_clients_that_never_stop_sending_are_answered_before_the_kill(tmp_path, clock):
-    """From the moment on at which no set-up comes by the page they are refused, and the process ends long
-    before the kill; what is out then is answered, too.
+async def test_clients_that_keep_sending_are_answered_before_the_kill(tmp_path, clock):
+    """Once no more set-ups come by the page they are refused, and the process ends well before the kill. Open
+    set-ups are answered, too.
     """
-    async with deployment(tmp_path, clock=clock, does="silent") as place:
-        clients, asked = [Client(place) for _ in range(5)], {}
-        ends = place.relay.leaving is None and clock.now
+    async with deployment(tmp_path, clock=clock, does="silent") as env:
+        clients, asked = [Client(env) for _ in range(5)], {}
+        ends = env.relay.shutdown is None and clock.now
         asked |= {client.ask(product="paid", patience="30000"): client for client in clients}
-        await place.settle()
-        place.relay.stop()
+        await env.settle()
+        env.relay.stop()
         began = clock.now
-        while not place.relay.over.is_set():
+        while not env.relay.stopped.is_set():
             for client in clients:
                 if not client.closed():
                     asked[client.ask(patience="900")] = client
-            await place.advance(0.02)
-            assert clock.now - began < decide.LONGEST_LIMIT + decide.TO_KILL - 0.1, "it is killed"
+            await env.advance(0.02)
+            assert (
+                clock.now - began < decide.MAX_COUNTED_TIME_LIMIT_S + decide.KILL_AFTER_TIME_LIMIT_S - 0.1
+            ), "it is killed"
         assert ends and all(len(client.answers(name)) == 1 for name, client in asked.items())
-        assert place.relay.viewers.refused > 20 and all(client.closed() for client in clients)
+        assert env.relay.viewers.refused > 20 and all(client.closed() for client in clients)
 
 
 @looped
-async def test_all_who_wait_at_the_door_are_let_in_before_it_is_shut(tmp_path, clock):
-    async with deployment(tmp_path, clock=clock) as place:
-        clients = [Client(place) for _ in range(90)]
+async def test_queued_connections_are_accepted_before_the_listener_closes(tmp_path, clock):
+    async with deployment(tmp_path, clock=clock) as env:
+        clients = [Client(env) for _ in range(90)]
         names = [client.ask(patience="900") for client in clients]
-        place.relay.viewers.ready = False
-        place.relay.leave()  # more than one turn of the loop takes in
-        await place.advance(1.5)
+        env.relay.viewers.ready = False
+        env.relay.wind_down()  # more connections than one turn of the loop accepts
+        await env.advance(1.5)
         assert all(len(client.answers(name)) == 1 for client, name in zip(clients, names, strict=True))
 
 
-# ---- nodes: what waits, and what comes late
+# ---- nodes: set-ups that wait, and messages that come late
 
 
-@pytest.mark.parametrize("told", ["draining", "started anew", "another address"])
+@pytest.mark.parametrize("change", ["draining", "started anew", "another address"])
 @looped
-async def test_a_node_that_is_another_once_its_connection_comes_up_gets_nothing(tmp_path, doors, told):
-    """Of what was chosen before; one that has started anew may get what the module chose knowing of it."""
-    async with deployment(tmp_path, nodes=("n0",)) as place:
-        client, ends, ended = Client(place), [], place.relay.driver.allocation_ended
-        place.relay.driver.allocation_ended = lambda active_play, number, node, how, *more: (
+async def test_set_up_is_not_sent_to_a_node_that_changed_while_it_waited(tmp_path, held_connects, change):
+    """A node that has started anew may get what the module chose after it learned of the start."""
+    async with deployment(tmp_path, nodes=("n0",)) as env:
+        client, ends, ended = Client(env), [], env.relay.driver.allocation_ended
+        env.relay.driver.allocation_ended = lambda active_play, number, node, how, *more: (
             ends.append((number, how)),
             ended(active_play, number, node, how, *more),
         )
         client.ask(product="paid")
-        await place.settle()
-        await place.platform.add("n9")
-        change = {
+        await env.settle()
+        await env.platform.add("n9")
+        changed = {
             "draining": {"phase": "draining"},
             "started anew": {"up_since_ms": int(time.time() * 1000)},
-            "another address": {"host_port": f"127.0.0.1:{place.platform.nodes['n9'].port}"},
-        }[told]
-        place.relay.channel.command({"nodes": {"members": [place.platform.member("n0") | change]}})
+            "another address": {"host_port": f"127.0.0.1:{env.platform.nodes['n9'].port}"},
+        }[change]
+        env.relay.channel.apply_command({"nodes": {"members": [env.platform.member("n0") | changed]}})
         for _ in range(3):
-            doors.let_in()
-            await place.settle()
-        assert ends[0] in ((0, "not_sent"), (0, "unreached")) and not place.platform.broken()
-        assert len(place.sent()) == sum(how not in ("not_sent", "unreached") for _, how in ends)
-        assert len(place.sent()) <= (told == "started anew")
+            held_connects.complete()
+            await env.settle()
+        assert ends[0] in ((0, "not_sent"), (0, "unreached")) and not env.platform.broken()
+        assert len(env.sent()) == sum(how not in ("not_sent", "unreached") for _, how in ends)
+        assert len(env.sent()) <= (change == "started anew")
         client.close()
 
 
 @pytest.mark.parametrize("moved", [False, True], ids=["at its address", "at another address"])
 @looped
-async def test_what_stood_at_a_process_that_has_started_anew_is_over(tmp_path, moved):
-    """The list tells of the start, and no release does: the process that would tell is gone."""
-    async with deployment(tmp_path, nodes=("n0",)) as place:
-        client = Client(place)
+async def test_sessions_end_when_their_node_has_started_anew(tmp_path, moved):
+    """Only the node list says so: the process that would send releases is gone."""
+    async with deployment(tmp_path, nodes=("n0",)) as env:
+        client = Client(env)
         name = client.ask()
-        await place.settle()
-        await place.platform.add("n9")
+        await env.settle()
+        await env.platform.add("n9")
         change = {"up_since_ms": int(time.time() * 1000) + 1000}
         if moved:
-            change["host_port"] = f"127.0.0.1:{place.platform.nodes['n9'].port}"
-        place.relay.channel.command({"nodes": {"members": [place.platform.member("n0") | change]}})
-        await place.settle()
+            change["host_port"] = f"127.0.0.1:{env.platform.nodes['n9'].port}"
+        env.relay.channel.apply_command({"nodes": {"members": [env.platform.member("n0") | change]}})
+        await env.settle()
         assert [m.kind for m in client.answers(name)] == [ANSWER, RELEASE]
-        assert not place.relay.driver.plays and not place.relay.viewers.sessions
+        assert not env.relay.driver.plays and not env.relay.viewers.sessions
         client.close()
 
 
@@ -670,62 +683,62 @@
 
 @pytest.mark.parametrize("late", LATE)
 @looped
-async def test_a_late_answer_to_a_first_set_up_is_not_taken_for_that_to_the_second(tmp_path, clock, late):
-    """One node alone: the second allocation of the play goes there too, by another connection, and only once
-    the node has heard that the first was given up.
+async def test_late_answer_is_not_taken_for_that_of_a_second_set_up(tmp_path, clock, late):
+    """With one node, the second allocation of the play goes there too: on another connection, and only once
+    the node has acknowledged the TEARDOWN of the first.
     """
     status = LATE[late]
-    async with deployment(tmp_path, clock=clock, does="silent", nodes=("n0",)) as place:
-        node, client = place.platform.nodes["n0"], Client(place)
+    async with deployment(tmp_path, clock=clock, does="silent", nodes=("n0",)) as env:
+        node, client = env.platform.nodes["n0"], Client(env)
         name = client.ask()
-        await place.settle()
+        await env.settle()
         first = node.came[name]
         if status == 500:
             first.write(node.answer(500, name))
             node.out.pop(name)
             node.say("refused", name, "error")
         elif status == 453:
-            first.write(node.answer(454, name))  # it never left: may be sent again at once
+            first.write(node.answer(454, name))  # it never ran: may be sent again at once
             node.out.pop(name)
             node.say("refused", name, "moot")
         else:
-            await place.advance(0.41)  # its time is over
-        await place.settle()
-        assert len(place.sent(name)) == 2 and node.came[name] is not first
+            await env.advance(0.41)  # its time limit is over
+        await env.settle()
+        assert len(env.sent(name)) == 2 and node.came[name] is not first
         first.write(node.answer(status if status != 453 else 454, name, b"late" if status == 200 else b""))
-        await place.settle()
-        assert len(place.sent(name)) == 2 and not client.answers(name) and not place.platform.of("cut", name)
+        await env.settle()
+        assert len(env.sent(name)) == 2 and not client.answers(name) and not env.platform.of("cut", name)
         node.do("serve", node.out[name], name, b"")
-        await place.settle()
-        assert [m.kind for m in client.answers(name)] == [ANSWER] and not place.platform.broken()
+        await env.settle()
+        assert [m.kind for m in client.answers(name)] == [ANSWER] and not env.platform.broken()
         assert client.answers(name)[0].fields[messages.DESCRIPTION].startswith(b"node n0 made this")
         client.close()
 
 
 @looped
-async def test_a_second_set_up_waits_until_the_first_ones_teardown_was_heard(tmp_path, clock):
-    async with deployment(tmp_path, clock=clock, does="silent", nodes=("n0",)) as place:
-        node, client = place.platform.nodes["n0"], Client(place)
-        node.hears = False  # it takes a TEARDOWN, and says nothing of it
+async def test_second_set_up_at_a_node_waits_for_the_teardown_of_the_first(tmp_path, clock):
+    async with deployment(tmp_path, clock=clock, does="silent", nodes=("n0",)) as env:
+        node, client = env.platform.nodes["n0"], Client(env)
+        node.hears = False  # it gets a TEARDOWN and does not acknowledge it
         name = client.ask()
-        await place.advance(0.41)
-        assert place.platform.of("given up", name) and len(place.sent(name)) == 1
-        await place.advance(place.relay.nodes.connect_limit)  # it is free to a node whether it does
-        assert len(place.sent(name)) == 2 and not place.platform.broken()
+        await env.advance(0.41)
+        assert env.platform.of("given up", name) and len(env.sent(name)) == 1
+        await env.advance(env.relay.nodes.connect_timeout_s)  # nodes need not acknowledge
+        assert len(env.sent(name)) == 2 and not env.platform.broken()
         client.close()
 
 
 @pytest.mark.parametrize("ends", ["stays open", "closes"])
 @looped
-async def test_an_answer_that_breaks_off_in_the_middle(tmp_path, clock, ends):
-    """The next answer on that connection is no part of it, and what stands at the node is ended there."""
-    async with deployment(tmp_path, clock=clock, does="silent", nodes=("n0",)) as place:
-        node, client = place.platform.nodes["n0"], Client(place)
-        node.does, node.hears = ["serve", "silent"], False  # nothing more is said on that connection
+async def test_partial_answer_ends_its_connection_and_tears_its_session_down(tmp_path, clock, ends):
+    """The next message on that connection must not be read as the rest of the answer."""
+    async with deployment(tmp_path, clock=clock, does="silent", nodes=("n0",)) as env:
+        node, client = env.platform.nodes["n0"], Client(env)
+        node.does, node.hears = ["serve", "silent"], False  # nothing more is sent on that connection
         before = client.ask()
-        await place.settle()
+        await env.settle()
         name = client.ask(product="paid")
-        await place.settle()
+        await env.settle()
         first = node.came[name]
         assert first is node.came[before]
         first.write(node.answer(200, name, b"x" * 50)[:-20])
@@ -733,17 +746,17 @@
         node.standing[name] = first
         node.say("answered", name, b"x" * 50)
         if ends == "closes":
-            await place.settle()
+            await env.settle()
             first.close()
-        await place.advance(3.1)
-        assert [m.kind for m in client.answers(name)] == [RELEASE] and len(place.sent(name)) == 1
-        assert place.platform.standing().keys() == {before} and first not in node.lines
-        node.end(before, 16)  # told on the connection of its set-up, where that is still open
-        await place.settle()
+        await env.advance(3.1)
+        assert [m.kind for m in client.answers(name)] == [RELEASE] and len(env.sent(name)) == 1
+        assert env.platform.standing().keys() == {before} and first not in node.lines
+        node.end(before, 16)  # sent on the connection of its set-up, if that is still open
+        await env.settle()
         assert [m.kind for m in client.answers(before)] == [ANSWER, RELEASE]
         node.does = "serve"
         other = client.ask()
-        await place.settle()
+        await env.settle()
         (answer,) = client.answers(other)
         assert answer.kind == ANSWER and answer.fields[messages.DESCRIPTION] == (
             b"node n0 made this for " + other.encode()
@@ -752,120 +765,120 @@
 
 
 @looped
-async def test_a_second_answer_some_milliseconds_late_is_nobodys(tmp_path, clock):
-    """Also once the session was released by its viewer, and by its node."""
-    async with deployment(tmp_path, clock=clock, nodes=("n0",)) as place:
-        node, client = place.platform.nodes["n0"], Client(place)
+async def test_second_copy_of_an_answer_is_ignored(tmp_path, clock):
+    """Also after its viewer, or its node, has ended the session."""
+    async with deployment(tmp_path, clock=clock, nodes=("n0",)) as env:
+        node, client = env.platform.nodes["n0"], Client(env)
         for end in ("", "viewer", "node"):
             name = client.ask()
-            await place.settle()
+            await env.settle()
             writer = node.came[name]
             if end == "viewer":
                 client.release(name)
             elif end == "node":
                 node.end(name, 16)
-            await place.settle()
+            await env.settle()
             heard = len(client.answers(name))
             writer.write(node.answer(200, name, b"a second copy"))
-            await place.advance(0.01)
+            await env.advance(0.01)
             assert len(client.answers(name)) == heard
-            assert (name in place.platform.standing()) == (not end)
-        assert not place.platform.broken() and len(place.relay.driver.plays) == 1
+            assert (name in env.platform.standing()) == (not end)
+        assert not env.platform.broken() and len(env.relay.driver.plays) == 1
         client.close()
 
 
 @looped
-async def test_a_node_taken_away_while_a_set_up_is_started_anew_for_it(tmp_path, clock):
-    """The end of its connections starts the set-up anew: no connection is left that belongs to no node."""
-    async with deployment(tmp_path, clock=clock, nodes=("n0", "n1")) as place:
-        client = Client(place)
+async def test_removed_node_keeps_no_connection_when_a_set_up_restarts(tmp_path, clock):
+    """The end of its connections starts the set-up again, which must not open a connection to it."""
+    async with deployment(tmp_path, clock=clock, nodes=("n0", "n1")) as env:
+        client = Client(env)
         served = client.ask()
-        await place.settle()
-        relay = place.relay.nodes
+        await env.settle()
+        relay = env.relay.nodes
         (name,) = [n.id for n in relay.nodes.values() if n.connections]
         node = relay.nodes[name]
         (connection,) = node.connections
-        active_play = place.relay.driver.plays[served]
+        active_play = env.relay.driver.plays[served]
         waiting = nodes.SetUp(relay, node, active_play, 9, 1.0)
-        connection.set_ups["e" * 16] = waiting  # written nowhere yet, as after a send that failed
+        connection.set_ups["e" * 16] = waiting  # not written yet, as after a send that failed
         waiting.connection = connection
-        place.relay.channel.command({"nodes": {"members": [place.platform.member(name, "gone")]}})
-        await place.advance(nodes.WAIT + 0.1)
+        env.relay.channel.apply_command({"nodes": {"members": [env.platform.member(name, "gone")]}})
+        await env.advance(nodes.REMOVAL_DELAY_S + 0.1)
         assert name not in relay.nodes
-        assert all(relay.lists(c.node) for c in relay.connections.values())
+        assert all(relay.is_listed(c.node) for c in relay.connections.values())
         client.close()
 
 
 @looped
-async def test_a_probe_that_waits_for_its_connection_leaves_on_it(tmp_path, clock, doors):
-    """Not on the next that comes up, where nobody would know its answer; and not once its time is over."""
-    async with deployment(tmp_path, clock=clock, nodes=("n0",)) as place:
-        relay = place.relay.nodes
-        heard = []
-        place.relay.driver.module.probed = lambda now, node, how, took, report: heard.append(how) or []
+async def test_probe_is_sent_only_on_the_connection_it_waits_for(tmp_path, clock, held_connects):
+    """Not on the next one that comes up, which would not know its answer, nor after its timeout."""
+    async with deployment(tmp_path, clock=clock, nodes=("n0",)) as env:
+        relay = env.relay.nodes
+        endings = []
+        env.relay.driver.module.probed = lambda now, node, how, took, report: endings.append(how) or []
         relay.probe("n0")
         node = relay.nodes["n0"]
         other = relay.open(node)
-        first, second = doors.waiting
-        doors.waiting.clear()
+        first, second = held_connects.waiting
+        held_connects.waiting.clear()
         second.connected()
-        await place.settle()
-        assert other.transport is second and not place.platform.of("asked for load")
+        await env.settle()
+        assert other.transport is second and not env.platform.of("asked for load")
         first.connected()
-        await place.settle()
-        assert heard == ["ok"] and len(place.platform.of("asked for load")) == 1
+        await env.settle()
+        assert endings == ["ok"] and len(env.platform.of("asked for load")) == 1
         relay.probe("n0")
-        await place.advance(nodes.PROBE + 0.01)
-        assert heard == ["ok", "ok"]
+        await env.advance(nodes.PROBE_TIMEOUT_S + 0.01)
+        assert endings == ["ok", "ok"]
 
 
 @looped
-async def test_many_probes_of_a_node_out_of_reach_leave_nothing_behind(tmp_path, clock, doors):
-    async with deployment(tmp_path, clock=clock, nodes=("n0",)) as place:
+async def test_probes_of_an_unreachable_node_are_not_queued(tmp_path, clock, held_connects):
+    async with deployment(tmp_path, clock=clock, nodes=("n0",)) as env:
         for _ in range(100):
-            place.relay.nodes.probe("n0")
-        await place.advance(1.0)
-        node = place.relay.nodes.nodes["n0"]
-        assert not node.unsaid and not any(c.probes for c in node.connections)
+            env.relay.nodes.probe("n0")
+        await env.advance(1.0)
+        node = env.relay.nodes.nodes["n0"]
+        assert not node.queued_messages and not any(c.probes for c in node.connections)
 
 
 @looped
-async def test_what_a_node_says_on_a_connection_that_is_to_be_closed_is_heard(tmp_path, clock):
-    """Its end of a session lies unread as the relay tidies up its connections."""
-    async with deployment(tmp_path, clock=clock, nodes=("n0",)) as place:
-        client, node = Client(place), place.platform.nodes["n0"]
+async def test_teardown_unread_when_its_connection_is_to_be_closed_is_handled(tmp_path, clock):
+    """Ends of sessions lie unread as the relay closes idle connections."""
+    async with deployment(tmp_path, clock=clock, nodes=("n0",)) as env:
+        client, node = Client(env), env.platform.nodes["n0"]
         names = [client.ask() for _ in range(2)]
-        await place.settle()
+        await env.settle()
         clock.now += 10.0
-        relay = place.relay.nodes
+        relay = env.relay.nodes
         assert len(relay.connections) == 2
         for name in names:
             node.end(name, 16)
         for writer in node.lines:
             writer.write(b"")
-        while relay.make_room():
+        while relay.free_connection():
             pass
-        await place.settle()
+        await env.settle()
         assert all(len(client.answers(name)) == 2 for name in names)
         client.close()
 
 
 @looped
-async def test_a_teardown_that_finds_its_connection_broken_is_said_on_the_next(tmp_path, clock):
-    async with deployment(tmp_path, clock=clock, nodes=("n0",)) as place:
-        client, node = Client(place), place.platform.nodes["n0"]
+async def test_teardown_on_a_reset_connection_is_sent_on_the_next(tmp_path, clock):
+    async with deployment(tmp_path, clock=clock, nodes=("n0",)) as env:
+        client, node = Client(env), env.platform.nodes["n0"]
         name = client.ask()
-        await place.settle()
+        await env.settle()
         node.reset()
-        await asyncio.sleep(0)  # the reset is there, the relay has not read it
+        await asyncio.sleep(0)  # the reset has arrived, and is unread
         client.release(name)
-        await place.advance(2.0)
-        assert place.platform.of("cut", name) and not place.platform.standing()
+        await env.advance(2.0)
+        assert env.platform.of("cut", name) and not env.platform.standing()
         client.close()
 
 
-def test_a_set_up_knows_a_second_answer_by_its_connection():
-    """What the rule rests on: nothing in an answer tells which of two set-ups of a play it is for."""
+def test_two_set_ups_of_a_play_are_identical_on_the_wire():
+    """So nothing in an answer says which of the two it is for; only its connection does."""
     reader = rtsp.Reader()
     first, second = (rtsp.request("SETUP", "a" * 16, "b" * 16, 1, b"d") for _ in range(2))
     assert first == second and reader.feed(first)[0] == rtsp.Reader().feed(second)[0]
--- a/tests/relay/test_fleet_faults.py
+++ b/tests/relay/test_fleet_faults.py
@@ -1,8 +1,8 @@
-"""Several processes of the relay, drawn faults between them and all around them; judged on the sockets.
+"""Several processes of the relay under random faults of everything around them; judged by the traffic.
 
-Each front reaches each node and its channel by a link of its own, which can be reset in the middle of a
-message, held, or slowed in one direction alone. Fronts are killed, asked to leave and started again; nodes
-drain, start, refuse, answer twice or not at all. Clients never stop sending, give up, release, hang up.
+Each front reaches each node and its channel over its own link, which can be reset in the middle of a message,
+stalled, or delayed in one direction alone. Fronts are killed, shut down and started again; nodes drain,
+start, refuse, answer twice or not at all. Clients keep sending, give up, release sessions and disconnect.
 """
 
 import asyncio
@@ -19,10 +19,15 @@
 from curlewhall.codecs.messages import ANSWER, DESCRIPTION, RELEASE
 from curlewhall.standins.platform import Channel, Link, Platform
 
-FRONTS, NODES, LASTS = 4, 5, 7.0
-TOLD, SLACK = 4.0, 1.0  # seconds after which a change counts as told at the latest; for a busy machine
-SHARE, SPARE = 0.01, 1  # the ration of further allocations, small so that it binds
-CROSSED = 0.25  # seconds before a close in which a set-up may cross it: 50 ms by the page, a busy machine
+FRONTS = 4
+NODES = 5
+RUN_S = 7.0
+CHANGE_KNOWN_S = 4.0  # after which a change counts as known to a front at the latest
+SLACK_S = 1.0  # for a busy machine
+# the budget of further allocations, small so that it limits them
+SHARE = 0.01
+SPARE = 1
+CROSSING_S = 0.25  # before a close, in which a set-up may cross it: 50 ms by the page, more on a busy machine
 
 
 def settings():
@@ -39,8 +44,8 @@
     return whole
 
 
-class Timed(Platform):
-    """Writes down when, too."""
+class TimedPlatform(Platform):
+    """Records the time of each entry in `seen`, too."""
 
     def __init__(self):
         super().__init__()
@@ -52,14 +57,14 @@
 
 
 class Front:
-    """One front's place: its processes, one after the other, its links and its channel."""
+    """One front of the fleet: its successive processes, its links and its channel."""
 
     def __init__(self, fleet, number):
         self.fleet, self.number, self.life, self.process, self.port = fleet, number, 0, None, 0
         self.links, self.channel, self.way, self.errors, self.killed = {}, None, None, [], set()
 
     async def start(self):
-        """With the list as it is now; numbers start from 1 at each start."""
+        """Start a process with the current node list; event numbers start from 1 again."""
         self.channel = Channel()
         await self.channel.start()
         self.way = Link(self.channel.port)
@@ -88,7 +93,7 @@
         ]
 
     async def end(self, number):
-        """A signal, and what the process said until it was over."""
+        """Send a signal, wait for the end of the process and keep its standard error."""
         process = self.process
         if number == signal.SIGKILL:
             self.killed.add(self.life)
@@ -96,16 +101,16 @@
         _, err = await asyncio.to_thread(process.communicate, None, 20)
         self.errors.append(err)
         self.channel.close()
-        # asked to leave while the interpreter itself is loaded, it ends as a signal does: nobody was served
+        # SIGTERM before the interpreter has run the first line ends the process by default: nobody was served
         young = process.returncode == -number and "serving" not in err
         assert number == signal.SIGKILL or process.returncode == 0 or young, err
 
 
 class Fleet:
     def __init__(self, folder, seed):
-        self.folder, self.draw, self.platform = folder, random.Random(seed), Timed()
+        self.folder, self.draw, self.platform = folder, random.Random(seed), TimedPlatform()
         self.fronts, self.members = [Front(self, i) for i in range(FRONTS)], {}
-        self.asked, self.lost = {}, set()  # set-ups: front, life, connection; those given up
+        self.asked, self.lost = {}, set()  # set-ups: front, process number, connection; those given up
         self.drained, self.started, self.over, self.number = {}, {}, False, 1
 
     async def open(self):
@@ -121,7 +126,7 @@
             await link.start()
         self.members[name] = self.platform.member(name, since=since)
 
-    def tell(self, name):
+    def announce(self, name):
         self.number += 1
         for front in self.fronts:
             if front.channel is not None:
@@ -131,7 +136,7 @@
     # ---- load
 
     async def client(self, front):
-        """Asks at one front, over one connection after the other, until the course is over."""
+        """Request plays at one front, over one connection after the other, until the run is over."""
         draw = random.Random(self.draw.random())
         while not self.over:
             try:
@@ -153,16 +158,16 @@
                 await asyncio.sleep(draw.uniform(0.01, 0.05))
             if not viewer.closed and draw.random() < 0.5 and not self.over:
                 self.lost |= {name for name in names if not viewer.of(name, (ANSWER, RELEASE))}
-                viewer.close()  # it hangs up
+                viewer.close()
             else:
-                await self.until(
+                await self.wait_until(
                     lambda v=viewer, n=names: v.closed
                     or all(v.of(x, (ANSWER, RELEASE)) or x in self.lost for x in n)
                 )
 
-    async def until(self, true):
+    async def wait_until(self, condition):
         async with asyncio.timeout(20):
-            while not true():
+            while not condition():
                 await asyncio.sleep(0.005)
 
     # ---- faults
@@ -206,15 +211,15 @@
             self.later(draw.uniform(0.1, 0.5), setattr, self.platform.nodes[name], "does", "serve")
         elif kind == "drain" and len(self.drained) < 2 and name not in self.drained:
             self.members[name] = self.members[name] | {"phase": "draining"}
-            self.tell(name)
+            self.announce(name)
             self.drained[name] = time.monotonic()
         elif kind == "start" and len(self.started) < 2:
             new = f"n{NODES + len(self.started)}"
             self.started[new] = time.monotonic()
             await self.add(new, since=int(time.time() * 1000))
-            self.tell(new)
+            self.announce(new)
         elif kind in ("kill", "leave"):
-            for silent in draw.sample(list(self.platform.nodes.values()), 3):  # so that plays are out
+            for silent in draw.sample(list(self.platform.nodes.values()), 3):  # so that allocations are open
                 silent.does = "silent"
                 self.later(1.2, setattr, silent, "does", "serve")
             await front.end(signal.SIGKILL if kind == "kill" else signal.SIGTERM)
@@ -222,9 +227,9 @@
         elif kind == "hang up":
             front.channel.hang_up()
 
-    async def course(self):
+    async def run(self):
         clients = [asyncio.create_task(self.client(front)) for front in self.fronts for _ in range(2)]
-        until = time.monotonic() + LASTS
+        until = time.monotonic() + RUN_S
         while time.monotonic() < until:
             await self.fault()
             await asyncio.sleep(self.draw.uniform(0.05, 0.2))
@@ -233,7 +238,7 @@
                 for way in (link.there, link.back):
                     way.set("stall", 0)
                     way.set("delay", 0)
-        await asyncio.sleep(1.0)  # all is well again, and the clients still ask
+        await asyncio.sleep(1.0)  # the faults are over, and the clients still request plays
         self.over = True
         await asyncio.gather(*clients)
         for front in self.fronts:
@@ -248,11 +253,11 @@
                 link.close()
         self.platform.close()
 
-    # ---- judged from what passed
+    # ---- judged from the traffic
 
     def unanswered(self):
-        """Rule 1: what was taken and has no answer, but for who gave up, and a front that was killed. What a
-        front that left has not answered was written last on its connection, as the close was on its way.
+        """Rule 1: accepted set-ups without an answer, except those given up and those of killed fronts.
+        Set-ups sent last on a connection may have crossed its close by a front that shut down.
         """
         written = {
             row[2]: at
@@ -270,13 +275,13 @@
             crossed = (
                 viewer.closed
                 and ended == sorted(ended, reverse=True)
-                and all(written[name] > viewer.closed_at - CROSSED for name in missed)
+                and all(written[name] > viewer.closed_at - CROSSING_S for name in missed)
             )
             found += [] if crossed else missed
         return found
 
     def answers(self):
-        """Rule 1: one answer each, and none that no node made for the play."""
+        """Rule 1: second answers, and answers that no node made for the play."""
         made = {(row[2], row[3]) for row in self.platform.of("answered")}
         wrong = [why for why in self.platform.broken() if "second answer" in why]
         for name, (_, _, viewer) in self.asked.items():
@@ -286,7 +291,7 @@
         return wrong
 
     def sent(self):
-        """Set-ups at nodes: when, node, session, product and rung."""
+        """Set-ups received by nodes: when, node, session, (product, rung)."""
         rows = zip(self.platform.times, self.platform.seen, strict=True)
         return [
             (at, side, session, value)
@@ -295,7 +300,7 @@
         ]
 
     def sent_again(self):
-        """Rule 2: a paid set-up goes out again only where the one before was refused."""
+        """Rule 2: paid set-ups that were sent again though the one before was not refused."""
         may, wrong = {}, []
         for side, what, session, value in self.platform.seen:
             if what == "set-up" and side != "viewer" and value[0] == "paid":
@@ -307,16 +312,16 @@
         return wrong
 
     def after_drains(self):
-        """Rule 3: nothing new past the grace, counted from when a change counts as told at the latest."""
+        """Rule 3: set-ups at draining nodes after the grace, which begins when the drain counts as known."""
         grace = settings()["invariants"]["drain-grace-ms"] / 1000
         return [
             (name, at - self.drained[name])
             for at, name, _, _ in self.sent()
-            if name in self.drained and at > self.drained[name] + TOLD + grace + SLACK
+            if name in self.drained and at > self.drained[name] + CHANGE_KNOWN_S + grace + SLACK_S
         ]
 
     def crowds(self):
-        """Rule 4: all fronts' set-ups at a node that has just started, in any window, while it is cold."""
+        """Rule 4: windows with too many set-ups of all fronts at a cold node."""
         whole, wrong = settings(), []
         rules, streams = whole["invariants"], whole["specifics"]["kind-streams"][0]
         window, warm = rules["fall-ms"] / 1000, rules["warm-within-ms"] / 1000
@@ -331,7 +336,7 @@
         return wrong
 
     def over_budget(self):
-        """Rule 6: further allocations of each process, over its whole life."""
+        """Rule 6: processes with too many further allocations over their whole life."""
         asked, further, seen = {}, {}, set()
         for front, life, _ in self.asked.values():
             asked[front, life] = asked.get((front, life), 0) + 1
@@ -350,17 +355,18 @@
 @pytest.mark.days
 @pytest.mark.parametrize("seed", range(4))
 @looped
-async def test_rules_hold_while_fronts_and_all_around_them_fail(tmp_path, seed):
+async def test_rules_hold_under_random_faults_of_fronts_nodes_and_links(tmp_path, seed):
     fleet = Fleet(tmp_path, seed)
     try:
         await fleet.open()
-        await fleet.course()
+        await fleet.run()
     finally:
         fleet.close()
     said = "".join(err for front in fleet.fronts for err in front.errors)
     assert "Traceback" not in said and "fault=" not in said, said
     served = sum(bool(viewer.of(name, (ANSWER,))) for name, (_, _, viewer) in fleet.asked.items())
-    assert len(fleet.asked) > 200 and served > 50  # young fronts pace what they find; most are declined
+    # most are declined, since new fronts limit the rate at nodes they don't know
+    assert len(fleet.asked) > 200 and served > 50
     assert not fleet.unanswered() and not fleet.answers()
     assert not fleet.sent_again() and not fleet.after_drains() and not fleet.crowds()
     assert all(rung >= 1 for _, _, _, (product, rung) in fleet.sent() if product == "paid")  # rule 5
--- a/tests/relay/test_processes.py
+++ b/tests/relay/test_processes.py
@@ -1,4 +1,4 @@
-"""Processes of the relay: signals while they start, descriptors that run out, thirty that start at once."""
+"""Processes of the relay: signals during the start, descriptors that run out, thirty that start at once."""
 
 import asyncio
 import json
@@ -10,17 +10,17 @@
 import pytest
 from loopback import Crowd, looped, poll
 from relay.deployment import free_port, set_up
-from relay.test_relay_process import ask, config, reach, run
+from relay.test_relay_process import config, exchange, run, try_connect
 
 from curlewhall.codecs import messages
 from curlewhall.standins.platform import Platform
 
-TEST = messages.message(messages.TEST, "0" * 15 + "1", cause=b"\0")
-READY = 10.0  # seconds in which nine in ten restarted processes pass a test
+HEALTH_CHECK = messages.encode(messages.HEALTH_CHECK, "0" * 15 + "1", cause=b"\0")
+READY_S = 10.0  # in which nine in ten restarted processes pass a health check
 
 
 def blocked(process, number):
-    """Whether a process holds a signal back (proc(5), SigBlk); None once it has gone."""
+    """Whether a process blocks a signal (proc(5), SigBlk); None once it has ended."""
     try:
         with open(f"/proc/{process.pid}/status", encoding="ascii") as file:
             masks = dict(line.split(":\t") for line in file if line.startswith("Sig"))
@@ -39,58 +39,59 @@
         ([signal.SIGINT], 0),
     ],
 )
-def test_signals_that_come_while_the_program_is_loaded(tmp_path, early, code):
-    """They wait until there is a front to hear them: none ends the process otherwise than by its own way."""
+def test_signals_during_the_imports_are_handled_after_the_start(tmp_path, early, code):
+    """None of them ends the process by its default action."""
     process, port = run(tmp_path, json.dumps(config()))
     poll(lambda: blocked(process, signal.SIGHUP) is not False)
     for number in early:
         process.send_signal(number)
     if code is None:
-        assert ask(port, TEST).fields[messages.CAUSE] == b"\1"
+        assert exchange(port, HEALTH_CHECK).fields[messages.CAUSE] == b"\1"
         process.send_signal(signal.SIGTERM)
         code = 0
     _, err = process.communicate(timeout=20)
     assert process.returncode == code and "Traceback" not in err
-    assert ("configuration read again" in err) == (signal.SIGHUP in early)
+    assert ("configuration reloaded" in err) == (signal.SIGHUP in early)
 
 
-def test_signals_after_the_first_that_asks_it_to_leave(tmp_path):
-    """SIGTERM again, SIGHUP after it: what is owed is answered all the same, and it leaves once."""
+def test_further_signals_during_a_shutdown_change_nothing(tmp_path):
+    """A set-up is answered all the same, and the shutdown is logged once."""
     process, port = run(tmp_path, json.dumps(config()))
-    sock = poll(lambda: reach(port))
+    sock = poll(lambda: try_connect(port))
     with sock:
-        sock.sendall(TEST)
+        sock.sendall(HEALTH_CHECK)
         assert sock.recv(100)
         for number in (signal.SIGTERM, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
             process.send_signal(number)
-        poll(lambda: sock.sendall(TEST) or sock.recv(100).endswith(b"\0"))
+        poll(lambda: sock.sendall(HEALTH_CHECK) or sock.recv(100).endswith(b"\0"))
         sock.sendall(set_up("0" * 15 + "2", patience="500"))
         assert sock.recv(100)[2] == messages.RELEASE
     _, err = process.communicate(timeout=20)
-    assert process.returncode == 0 and err.count("leaving") == 1 and err.count("left asked") == 1
+    assert process.returncode == 0 and err.count("shutting down") == 1 and err.count("shut down asked") == 1
 
 
-def test_it_leaves_though_nobody_reads_what_it_says(tmp_path):
-    """Whoever started it has died, and its standard error is a pipe without a reader."""
+def test_shutdown_succeeds_though_standard_error_has_no_reader(tmp_path):
+    """Its parent has died, and standard error is a pipe without a reader."""
     process, port = run(tmp_path, json.dumps(config()))
     try:
-        assert ask(port, TEST).fields[messages.CAUSE] == b"\1"
+        assert exchange(port, HEALTH_CHECK).fields[messages.CAUSE] == b"\1"
         process.stderr.close()
         process.send_signal(signal.SIGTERM)
-        assert process.wait(20) >= 0  # by its own way, not by a signal
+        assert process.wait(20) >= 0  # it exits, not ended by a signal
     finally:
         process.kill()
         process.wait()
 
 
-IDLE = {"nothing": b"", "one test": TEST, "half a message": set_up("e" * 16)[:30]}
+IDLE_CLIENTS = {"nothing": b"", "one health check": HEALTH_CHECK, "half a message": set_up("e" * 16)[:30]}
 
 
-@pytest.mark.parametrize("says", IDLE)
+@pytest.mark.parametrize("says", IDLE_CLIENTS)
 @looped
-async def test_idle_clients_fill_the_descriptors_while_discovery_is_down(tmp_path, says):
-    """Far more connect than there are descriptors, and go on while the channel comes back: it is followed,
-    nodes are reached, a viewer who plays keeps its connection, and new ones are served.
+async def test_viewers_are_served_while_idle_clients_use_up_the_descriptors(tmp_path, says):
+    """Far more clients connect than there are descriptors, with the channel down at first. The front follows
+    the channel once it is back, reaches nodes, keeps the connection of a viewer with a session, and serves
+    new viewers.
     """
     platform, sockets = Platform(), 64
     for name in ("n0", "n1"):
@@ -115,17 +116,17 @@
         ),
     )
     resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (sockets, sockets))
-    crowd = Crowd(("127.0.0.1", port), IDLE[says], 3 * sockets)
+    crowd = Crowd(("127.0.0.1", port), IDLE_CLIENTS[says], 3 * sockets)
 
     async def served(viewer):
-        """Asks, the crowd coming again and again meanwhile."""
+        """Request a play and expect success, while the idle clients reconnect."""
         name = viewer.ask()
         await crowd.fill()
         assert (await viewer.hear(name)).kind == messages.ANSWER
         return name
 
     try:
-        while not await asyncio.to_thread(reach, port):
+        while not await asyncio.to_thread(try_connect, port):
             await asyncio.sleep(0.01)
         usual = await platform.viewer(port)
         playing = await served(usual)
@@ -148,7 +149,7 @@
         assert there == {"n1"} and not usual.closed and not platform.broken()
         node = platform.nodes[platform.standing()[playing]]
         node.end(playing, 16)
-        assert (await usual.hear(playing, 2)).kind == messages.RELEASE  # and on its own connection
+        assert (await usual.hear(playing, 2)).kind == messages.RELEASE  # on its own connection
     finally:
         crowd.close()
         process.kill()
@@ -158,18 +159,18 @@
 
 
 @pytest.mark.days
-def test_nine_in_ten_of_thirty_that_start_at_once_are_ready_in_time(tmp_path):
-    """Measured from the start of the process to its first passed test, as a client sees it."""
+def test_nine_in_ten_of_thirty_processes_started_at_once_are_ready_in_time(tmp_path):
+    """From the start of the process to its first passed health check, as a client sees it."""
     began, fronts, took = time.monotonic(), [], []
     try:
         for i in range(30):
             fronts.append(run(tmp_path, json.dumps(config(name=f"n{i}")), f"{i}.json", RELAY_NAME=f"n{i}"))
         for _, port in fronts:
-            assert ask(port, TEST).fields[messages.CAUSE] == b"\1"
+            assert exchange(port, HEALTH_CHECK).fields[messages.CAUSE] == b"\1"
             took.append(time.monotonic() - began)
     finally:
         for process, _ in fronts:
             process.kill()
         for process, _ in fronts:
             process.communicate()
-    assert sorted(took)[26] <= READY, took
+    assert sorted(took)[26] <= READY_S, took
--- a/tests/relay/test_relay_process.py
+++ b/tests/relay/test_relay_process.py
@@ -1,4 +1,4 @@
-"""The process: what it loads, what it says of a bad configuration, how it leaves."""
+"""The relay's process: its imports, invalid configurations, reload, shutdown and reconnects."""
 
 import asyncio
 import json
@@ -17,7 +17,7 @@
 from curlewhall.relay import start_settings
 from curlewhall.standins.platform import Platform
 
-HEAVY = (
+HEAVY_MODULES = (
     "matplotlib",
     "lxml",
     "jinja2",
@@ -65,10 +65,10 @@
     return process, port
 
 
-def test_loads_only_what_it_needs():
+def test_relay_imports_no_heavy_modules():
     code = (
         "import sys, curlewhall.relay.serve; "
-        f"print([m for m in {HEAVY!r} if any((n + '.').startswith(m + '.') for n in sys.modules)])"
+        f"print([m for m in {HEAVY_MODULES!r} if any((n + '.').startswith(m + '.') for n in sys.modules)])"
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert done.stdout.strip() == "[]"
@@ -77,7 +77,7 @@
 @pytest.mark.parametrize(
     ("change", "said"),
     [
-        ({"settings": None}, "no settings"),
+        ({"settings": None}, "object under settings"),
         ({"settings": {}}, "settings can't be used"),
         ({"channel": None}, "channel"),
         ({"channel": "x"}, "channel"),
@@ -90,7 +90,7 @@
         ({"settings": {"lanes": 3}}, "settings can't be used"),
     ],
 )
-def test_bad_configurations(tmp_path, change, said):
+def test_invalid_configuration_ends_the_process_with_one_line(tmp_path, change, said):
     process, _ = run(tmp_path, json.dumps(config(**change)))
     _, err = process.communicate(timeout=20)
     assert process.returncode == 1 and err.startswith("can't start: ") and err.count("\n") == 1
@@ -101,18 +101,18 @@
     ("text", "variables", "said"),
     [
         ("{", {}, "not JSON"),
-        ("[]", {}, "no JSON object"),
+        ("[]", {}, "must be a JSON object"),
         ("{}", {"RELAY_CONFIG": None}, "RELAY_CONFIG"),
         ("{}", {"RELAY_CONFIG": "none"}, "can't be read"),
     ],
 )
-def test_no_configuration(tmp_path, text, variables, said):
+def test_missing_or_malformed_configuration_ends_the_process_with_one_line(tmp_path, text, variables, said):
     process, _ = run(tmp_path, text, **variables)
     _, err = process.communicate(timeout=20)
     assert process.returncode == 1 and err.count("\n") == 1 and said in err
 
 
-def test_an_address_that_is_taken(tmp_path):
+def test_address_in_use_ends_the_process_with_one_line(tmp_path):
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         sock.listen()
@@ -121,16 +121,16 @@
         assert process.returncode == 1 and err.count("\n") == 1 and "can't start" in err
 
 
-def reach(port):
+def try_connect(port):
     try:
         return socket.create_connection(("127.0.0.1", port), timeout=10)
     except OSError:
         return None
 
 
-def ask(port, raw, sock=None):
-    """Say something and read the first message that comes."""
-    with sock or poll(lambda: reach(port)) as sock:
+def exchange(port, raw, sock=None):
+    """Send bytes and return the first message received."""
+    with sock or poll(lambda: try_connect(port)) as sock:
         sock.sendall(raw)
         reader, found = messages.Reader(), []
         while not found:
@@ -141,42 +141,48 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
-def test_tested_told_of_a_new_file_and_asked_to_leave(tmp_path, number):
-    """After SIGTERM what still comes is answered; then the process ends by itself."""
+def test_health_checks_across_reload_and_shutdown(tmp_path, number):
+    """After SIGTERM health checks fail and set-ups are still answered; then the process exits."""
     process, port = run(tmp_path, json.dumps(config()))
-    test = messages.message(messages.TEST, "0" * 15 + "1", cause=b"\0")
-    assert ask(port, test).fields[messages.CAUSE] == b"\1"
+    test = messages.encode(messages.HEALTH_CHECK, "0" * 15 + "1", cause=b"\0")
+    assert exchange(port, test).fields[messages.CAUSE] == b"\1"
     process.send_signal(signal.SIGHUP)
-    assert ask(port, test).fields[messages.CAUSE] == b"\1"
+    assert exchange(port, test).fields[messages.CAUSE] == b"\1"
     process.send_signal(number)
-    poll(lambda: ask(port, test).fields[messages.CAUSE] == b"\0")
-    set_up = messages.message(
+    poll(lambda: exchange(port, test).fields[messages.CAUSE] == b"\0")
+    set_up = messages.encode(
         messages.SET_UP,
         "0" * 15 + "2",
         product=b"cheap",
         patience=b"500",
         title=b"a" * 16,
-        figures=b"home:0;copies:4;top:3;viewer:01",
+        attributes=b"home:0;copies:4;top:3;viewer:01",
         description=b"d",
     )
-    assert ask(port, set_up).kind == messages.RELEASE
+    assert exchange(port, set_up).kind == messages.RELEASE
     _, err = process.communicate(timeout=20)
-    assert process.returncode == 0 and "configuration read again" in err and "Traceback" not in err
+    assert process.returncode == 0 and "configuration reloaded" in err and "Traceback" not in err
 
 
 @pytest.mark.parametrize("sockets", [64, 256, 1024])
-def test_descriptors_are_divided_with_a_reserve(tmp_path, sockets):
+def test_sockets_are_divided_between_viewers_nodes_and_a_reserve(tmp_path, sockets):
     file = tmp_path / "config.json"
     file.write_text(json.dumps(config(limits={"sockets": sockets})))
-    given = start_settings.read({"RELAY_CONFIG": str(file)})
-    assert given.viewers + given.nodes + start_settings.RESERVE == sockets
-    assert given.nodes >= 16 and given.viewers >= (sockets - start_settings.RESERVE) // 3
+    loaded = start_settings.read_config({"RELAY_CONFIG": str(file)})
+    assert (
+        loaded.max_viewer_connections + loaded.max_node_connections + start_settings.RESERVED_SOCKETS
+        == sockets
+    )
+    assert (
+        loaded.max_node_connections >= 16
+        and loaded.max_viewer_connections >= (sockets - start_settings.RESERVED_SOCKETS) // 3
+    )
 
 
 @looped
-async def test_eight_fronts_that_lose_the_channel_at_once(tmp_path):
-    """They come back, each in its own time; the drain told meanwhile reaches all; nobody goes there after."""
-    platform, fronts, back = Platform(), [], []
+async def test_eight_fronts_that_lose_the_channel_reconnect_spread_out_and_follow_a_drain(tmp_path):
+    """The node that drains meanwhile gets no set-up from any of them."""
+    platform, fronts, reconnected_at = Platform(), [], []
     try:
         nodes = [await platform.add(name) for name in ("n0", "n1")]
         await platform.channel.start()
@@ -200,15 +206,15 @@
             while len(platform.channel.lines) < 8:
                 await asyncio.sleep(0.01)
             platform.channel.calls.clear()
-            platform.channel.when = lambda: back.append(time.monotonic())
+            platform.channel.when = lambda: reconnected_at.append(time.monotonic())
             platform.channel.hang_up()
             lost = time.monotonic()
             platform.channel.tell(2, [platform.member("n0", "draining")])
             while len(platform.channel.lines) < 8:
                 await asyncio.sleep(0.01)
         assert platform.channel.calls == [1] * 8
-        # 0.05 to 0.25 s here, drawn: fixed pauses would bring all eight in one moment
-        assert back[-1] - back[0] > 0.05 and back[0] - lost > 0.04
+        # drawn from 0.05 to 0.25 s here; with fixed delays all eight would reconnect at one moment
+        assert reconnected_at[-1] - reconnected_at[0] > 0.05 and reconnected_at[0] - lost > 0.04
         viewers = [await platform.viewer(port) for _, port in fronts]
         for viewer in viewers * 3:
             heard = await viewer.hear(viewer.ask())
--- a/tests/relay/test_standing.py
+++ b/tests/relay/test_standing.py
@@ -1,4 +1,4 @@
-"""The terms of the standing test, caused on the stand-ins of the platform by processes of the program."""
+"""The conditions of the platform's acceptance test, with relay processes among the platform's stand-ins."""
 
 import asyncio
 import json
@@ -13,11 +13,11 @@
 from curlewhall.codecs import messages
 from curlewhall.standins.platform import Platform, abort
 
-LIMIT = 3.0  # seconds: the longest time limit of the settings here
+MAX_TIME_LIMIT_S = 3.0  # the longest in the settings here
 
 
 class Deployment:
-    """Some relays as processes, each with nodes, a channel and viewers of the platform around it."""
+    """Relay processes with nodes, a channel and viewers of the platform."""
 
     def __init__(self, tmp_path):
         self.platform, self.tmp_path, self.fronts = Platform(), tmp_path, []
@@ -43,12 +43,12 @@
             self.fronts.append(
                 await asyncio.to_thread(run, self.tmp_path, text, f"{i}.json", RELAY_NAME=f"n{i}")
             )
-        await self.until(lambda: len(self.platform.channel.lines) >= fronts)
+        await self.wait_until(lambda: len(self.platform.channel.lines) >= fronts)
         return self
 
-    async def until(self, true):
+    async def wait_until(self, condition):
         async with asyncio.timeout(20):
-            while not true():
+            while not condition():
                 await asyncio.sleep(0.005)
 
     async def viewer(self, i=0):
@@ -67,38 +67,38 @@
     return Deployment(tmp_path)
 
 
-def test_planned_restart_with_clients_that_never_stop_sending(deployment):
+def test_planned_restart_answers_clients_that_keep_sending(deployment):
     restart_under_senders(deployment)
 
 
 @looped
 async def restart_under_senders(deployment):
-    """Whoever may send goes on on each connection that stays open. What came is answered; what the front
-    can't answer crosses the close of its connection, and goes out again.
+    """Clients keep sending on each connection that stays open. Every set-up is answered but the last on a
+    connection, which may cross its close.
     """
-    place = await deployment.open()
+    env = await deployment.open()
     try:
-        senders = [Sender(await place.viewer(), period) for period in (0.002, 0.003, 0.007, 0.02, 0.05) * 6]
+        senders = [Sender(await env.viewer(), period) for period in (0.002, 0.003, 0.007, 0.02, 0.05) * 6]
         tasks = [asyncio.create_task(sender.run()) for sender in senders]
-        await place.until(lambda: all(sender.answered() > 3 for sender in senders))
-        process = place.fronts[0][0]
+        await env.wait_until(lambda: all(sender.answered() > 3 for sender in senders))
+        process = env.fronts[0][0]
         process.send_signal(signal.SIGTERM)
         told = time.monotonic()
-        code = await asyncio.to_thread(process.wait, LIMIT + 0.7)
+        code = await asyncio.to_thread(process.wait, MAX_TIME_LIMIT_S + 0.7)
         took = time.monotonic() - told
         await asyncio.gather(*tasks)
         assert code == 0 and took > 0.75  # set-ups come for 0.6 s
         late = [sender for sender in senders if sender.closed - told < 0.6]
         assert not late, "a connection was closed while set-ups still came"
-        # What has no answer was written last, as the close was on its way; nothing before it was passed over.
-        assert all(sender.whole() for sender in senders)
+        # Only the last set-ups on a connection may have no answer: they crossed its close.
+        assert all(sender.answered_in_order() for sender in senders)
         assert sum(sender.after(told) for sender in senders) > len(senders)
     finally:
         deployment.close()
 
 
 class Sender:
-    """A client that asks again and again on its one connection, until it sees the close."""
+    """A client that sends set-ups on one connection until it sees the close."""
 
     def __init__(self, viewer, period):
         self.viewer, self.period, self.sent, self.closed = viewer, period, {}, 0.0
@@ -116,8 +116,8 @@
     def ended(self, name):
         return self.viewer.of(name, (messages.ANSWER, messages.RELEASE))
 
-    def whole(self):
-        """Whether all that was sent up to some moment is answered, and nothing after it."""
+    def answered_in_order(self):
+        """Whether all set-ups up to some moment are answered, and none after it."""
         ends = [bool(self.ended(name)) for name in self.sent]
         return ends == sorted(ends, reverse=True)
 
@@ -126,7 +126,7 @@
 
 
 @looped
-async def test_sender_stops_when_its_transport_closes_before_the_listener_notices():
+async def test_sender_stops_when_its_transport_closes_before_its_listener_notices():
     """The listener sets `closed` under a lock, after the transport has closed; uvloop raises RuntimeError on
     a write in between.
     """
@@ -154,28 +154,28 @@
 
 
 @looped
-async def test_a_change_counts_as_told_once_the_channel_holds_it(tmp_path):
-    """SIGHUP moves the channel; a drain is held by the new one before the front has come there. From 4 s
-    after SIGHUP nothing may go to the node; the front is there, and heeds it, in a fraction of that.
+async def test_drain_on_the_new_channel_is_followed_after_sighup(tmp_path):
+    """The new channel has the drain before the front connects to it. From 4 s after SIGHUP on no set-up may
+    go to the node; the front has followed the drain long before.
     """
-    place = await Deployment(tmp_path).open()
-    other = type(place.platform.channel)()
+    env = await Deployment(tmp_path).open()
+    other = type(env.platform.channel)()
     try:
         await other.start()
-        other.tell(2, [place.platform.member("n0", "draining")])
+        other.tell(2, [env.platform.member("n0", "draining")])
         file = tmp_path / "0.json"
         file.write_text(json.dumps(json.loads(file.read_text()) | {"channel": f"127.0.0.1:{other.port}"}))
-        place.fronts[0][0].send_signal(signal.SIGHUP)
-        await place.until(lambda: other.lines)
-        assert other.calls == [1]  # the numbers go on
-        viewer, at = await place.viewer(), len(place.platform.seen)
+        env.fronts[0][0].send_signal(signal.SIGHUP)
+        await env.wait_until(lambda: other.lines)
+        assert other.calls == [1]  # event numbers go on
+        viewer, at = await env.viewer(), len(env.platform.seen)
         await viewer.hear(viewer.ask())
 
         def sent():
-            return [row[0] for row in place.platform.seen[at:] if row[1] == "set-up" and row[0] != "viewer"]
+            return [row[0] for row in env.platform.seen[at:] if row[1] == "set-up" and row[0] != "viewer"]
 
         async with asyncio.timeout(20):
-            while len(sent()) < 3:  # a young front paces what it meets
+            while len(sent()) < 3:  # a new front limits the rate at nodes it doesn't know
                 name = viewer.ask()
                 if (await viewer.hear(name)).kind == messages.ANSWER:
                     viewer.release(name)
@@ -183,29 +183,29 @@
         assert set(sent()) == {"n1"}
     finally:
         other.close()
-        place.close()
+        env.close()
 
 
 @pytest.mark.days
 @pytest.mark.parametrize("fronts", [3, 8, 20, 30])
 @looped
-async def test_a_cold_node_gets_no_more_from_all_fronts_than_it_bears(tmp_path, fronts):
-    """One node that has just started, a crowd at each front, four times as great at some as at others: in no
-    window of the settings more than N + 2 root N + 2, N being what the settings allow a node that has just
-    started. N is under the number of fronts.
+async def test_cold_node_gets_no_more_set_ups_from_all_fronts_than_allowed(tmp_path, fronts):
+    """One node has just started; some fronts get four times as many requests as others. No window of the
+    settings may have more than N + 2 sqrt(N) + 2 set-ups, N being what the settings allow a node that has
+    just started. N is less than the number of fronts.
     """
     settings = config()["settings"] | {"n-instances": fronts}
-    place = await Deployment(tmp_path).open(
+    env = await Deployment(tmp_path).open(
         nodes=1, fronts=fronts, since=int(time.time() * 1000), settings=settings
     )
     times = []
-    seen = place.platform.saw
-    place.platform.saw = lambda side, what, session, value="": (
+    seen = env.platform.saw
+    env.platform.saw = lambda side, what, session, value="": (
         times.append(time.monotonic()) if what == "set-up" and side == "n0" else None,
         seen(side, what, session, value),
     )
     try:
-        viewers = [await place.viewer(i) for i in range(fronts)]
+        viewers = [await env.viewer(i) for i in range(fronts)]
         names = []
         for turn in range(30):
             names += [
@@ -228,26 +228,26 @@
         most = max((sum(t <= other < t + window for other in times) for t in times), default=0)
         assert len(names) > 8 * fronts and most <= allowed + 2 * math.sqrt(allowed) + 2
     finally:
-        place.close()
+        env.close()
 
 
 @pytest.mark.days
 @looped
-async def test_a_title_that_all_ask_for_does_not_push_over_the_one_holder_that_has_room(tmp_path):
-    """Thirty processes, four nodes. Three refuse as full; the fourth has just started, and each front hears
-    of it from the channel, in its own time. A front alone sees a thirtieth of the crowd.
+async def test_popular_title_does_not_overload_its_one_holder_with_room(tmp_path):
+    """Thirty processes, four nodes. Three are full; the fourth has just started, and each front learns of it
+    from the channel at its own time. Each front sees only a thirtieth of the requests.
     """
     fronts, settings = 30, config()["settings"]
     settings["n-instances"] = fronts
     settings["specifics"]["kind-streams"] = [10]
     settings["invariants"]["warm-within-ms"] = 1500.0
-    place = await Deployment(tmp_path).open(nodes=4, fronts=fronts, unlisted=("n0",), settings=settings)
-    times, platform = [], place.platform
+    env = await Deployment(tmp_path).open(nodes=4, fronts=fronts, unlisted=("n0",), settings=settings)
+    times, platform = [], env.platform
     for name in ("n1", "n2", "n3"):
         platform.nodes[name].does = "full"
     try:
-        viewers = [await place.viewer(i) for i in range(fronts)]
-        await asyncio.sleep(1.6)  # all that a young front finds is warm to it by then; longer does no harm
+        viewers = [await env.viewer(i) for i in range(fronts)]
+        await asyncio.sleep(1.6)  # a new front counts the nodes it found as warm by then; longer does no harm
         seen = platform.saw
         platform.saw = lambda side, what, session, value="": (
             times.append(time.monotonic()) if what == "set-up" and side == "n0" else None,
@@ -276,11 +276,13 @@
         most = max((sum(t <= other < t + window for other in times) for t in times), default=0)
         assert 0 < most <= bears + 2 * math.sqrt(bears) + 2 and not platform.broken()
     finally:
-        place.close()
+        env.close()
 
 
-def other(lanes, **specifics):
-    """The settings with other products: name, worth, effect, time limit in ms, floor, highest rung, scale."""
+def settings_with(lanes, **specifics):
+    """The settings with other products, each as (name, worth, idempotency, time limit in ms, floor, highest
+    rung, scale).
+    """
     settings = config()["settings"]
     settings["lanes"] = [
         {"name": name, "worth": worth, "idempotency": how, "target-ms": limit / 3, "give-up-ms": limit}
@@ -297,15 +299,15 @@
     return settings
 
 
-CUSTOMERS = {
-    "as ever": other(
+SETTINGS_BY_CUSTOMER = {
+    "the usual products": settings_with(
         [
             ("dear", 2.0, "pure", 3000.0, 0, 3, 1.0),
             ("cheap", 1.0, "pure", 3000.0, 0, 3, 1.0),
             ("paid", 3.0, "side_effect", 3000.0, 1, 3, 1.0),
         ]
     ),
-    "one far over 3 s, one far under 1 s": other(
+    "one far over 3 s, one far under 1 s": settings_with(
         [
             ("long", 1.0, "pure", 9000.0, 0, 3, 0.8),
             ("now", 2.0, "pure", 550.0, 0, 3, 0.6),
@@ -314,7 +316,7 @@
         ],
         **{"kind-streams": [12], "uplink-kb": 6000.0},
     ),
-    "two paid for, all of little patience": other(
+    "two paid for, all of little patience": settings_with(
         [
             ("open", 1.0, "pure", 1500.0, 0, 2, 0.9),
             ("seminar", 2.0, "side_effect", 1800.0, 0, 2, 1.0),
@@ -327,27 +329,27 @@
             "link-unit-kb": 5000.0,
         },
     ),
-    "one product": other([("only", 1.0, "pure", 2000.0, 0, 3, 1.0)]),
+    "one product": settings_with([("only", 1.0, "pure", 2000.0, 0, 3, 1.0)]),
 }
 
 
-@pytest.mark.parametrize("customer", CUSTOMERS)
+@pytest.mark.parametrize("customer", SETTINGS_BY_CUSTOMER)
 @looped
-async def test_no_class_is_starved_in_any_third_of_a_day(tmp_path, customer):
-    """More is asked than the streams hold, three times, the sessions over in between: no class gets less than
-    half of what it asks while there are any streams, in no third less than in another by more than a play or
-    two, and the cheapest is the first that gets none. (A set-up here names no tenant.)
+async def test_no_product_is_starved_in_any_of_three_rounds(tmp_path, customer):
+    """In three rounds more plays are requested than the nodes have streams; between rounds all sessions end.
+    While there are streams each product gets at least half of its requests; no round gives a product much
+    less than another round; and only the cheapest runs out. (A set-up here names no tenant.)
     """
-    settings = CUSTOMERS[customer]
-    place = await Deployment(tmp_path).open(nodes=4, settings=settings)
-    platform, thirds = place.platform, []
+    settings = SETTINGS_BY_CUSTOMER[customer]
+    env = await Deployment(tmp_path).open(nodes=4, settings=settings)
+    platform, thirds = env.platform, []
     products = [lane["name"] for lane in settings["lanes"]]
     worth = {lane["name"]: lane["worth"] for lane in settings["lanes"]}
     limits = {lane["name"]: str(int(lane["give-up-ms"])) for lane in settings["lanes"]}
     top = len(settings["specifics"]["rung-kb"]) - 1
     most = 4 * settings["specifics"]["kind-streams"][0]
     try:
-        viewer = await place.viewer()
+        viewer = await env.viewer()
         for _ in range(3):
             got = {product: [] for product in products}
             for _ in range(most // len(products) + 4):
@@ -362,10 +364,10 @@
             thirds.append({product: sum(ends) for product, ends in got.items()})
             for session, node in platform.standing().items():
                 platform.nodes[node].end(session, 16)
-                await viewer.hear(session, 2)  # the front has heard of it
+                await viewer.hear(session, 2)  # the front has handled the end
         assert not platform.broken()
         for product in products:
             counts = [third[product] for third in thirds]
             assert min(counts) >= 0.7 * max(counts), thirds
     finally:
-        place.close()
+        env.close()
