--- a/curlewhall/settings/__init__.py
+++ b/curlewhall/settings/__init__.py
@@ -1,9 +1,10 @@
-"""The operator's file in protobuf text format: its schema, loading, checking, and the start settings.
+"""The operator's settings file in protobuf text format: schema, loading, validation and the start settings.
 
-`load` refuses a wrong file with line, column, what was found and what was expected, all complaints at once.
+`load` rejects an invalid file with one `SettingsError` that lists every problem, each with line, column, the
+value found and the value expected.
 """
 
-from .load import Complaint, SettingsError, load, parse
+from .load import Problem, SettingsError, load, parse
 from .start_settings import start_settings
 
-__all__ = ["Complaint", "SettingsError", "load", "parse", "start_settings"]
+__all__ = ["Problem", "SettingsError", "load", "parse", "start_settings"]
--- a/curlewhall/settings/start_settings.py
+++ b/curlewhall/settings/start_settings.py
@@ -1,6 +1,6 @@
-"""The start settings: what the module is told at start, as a flat map, made of the operator's file.
+"""Converts the operator's file to the start settings: the flat map that a policy module receives at start.
 
-Times become whole tenths of a millisecond; names are those that `curlewhall.policy` reads.
+Durations become whole ticks of a tenth of a millisecond. The keys are those that `curlewhall.policy` reads.
 """
 
 from typing import Any
@@ -8,13 +8,15 @@
 from . import front_pb2
 
 IDEMPOTENCY = {front_pb2.PURE: "pure", front_pb2.SIDE_EFFECT: "side_effect"}
-HOW = {front_pb2.ON_PROBE: "on_probe", front_pb2.INLINE: "inline", front_pb2.OFF: "off"}
+REPORT_MODES = {front_pb2.ON_PROBE: "on_probe", front_pb2.INLINE: "inline", front_pb2.OFF: "off"}
 
 
 def start_settings(file: front_pb2.FrontFile) -> dict[str, Any]:
-    """The map for `Front(now, seed, start_settings)`; `file` has been checked."""
-    top = len(file.ladder.rung_kb) - 1
-    may, rules, fleet = file.permissions, file.rules, file.fleet
+    """The start settings for `Front(now, seed, start_settings)`; `file` must have passed validation."""
+    highest_rung = len(file.ladder.rung_kb) - 1
+    permissions = file.permissions
+    rules = file.rules
+    fleet = file.fleet
     settings = {
         "products": [
             {
@@ -31,12 +33,12 @@
         "own_index": file.identity.index,
         "zone": file.identity.zone,
         "kinds": [kind.name for kind in fleet.kind],
-        "report.how": HOW[file.reports.how],
+        "report.how": REPORT_MODES[file.reports.how],
         "specifics.rung_kb": list(file.ladder.rung_kb),
         "specifics.level_worth": list(file.ladder.worth),
         "specifics.class_scale": [p.scale if p.HasField("scale") else 1.0 for p in file.product],
         "specifics.floor_by_class": [p.floor for p in file.product],
-        "specifics.highest_rung": [p.top if p.HasField("top") else top for p in file.product],
+        "specifics.highest_rung": [p.top if p.HasField("top") else highest_rung for p in file.product],
         "specifics.seats": [p.seats for p in file.product],
         "specifics.kind_streams": [kind.streams for kind in fleet.kind],
         "specifics.places": fleet.places,
@@ -44,10 +46,10 @@
         "specifics.uplink_kb": fleet.uplink_kb,
         "specifics.link_unit_kb": fleet.link_unit_kb,
         "specifics.told_late": 10 * file.reports.told_late_ms,
-        "permissions.probes": may.probes,
-        "permissions.retry_after": may.retry_after,
-        "permissions.max_allocations": may.max_allocations,
-        "permissions.max_retry_after": 10 * may.max_retry_after_ms,
+        "permissions.probes": permissions.probes,
+        "permissions.retry_after": permissions.retry_after,
+        "permissions.max_allocations": permissions.max_allocations,
+        "permissions.max_retry_after": 10 * permissions.max_retry_after_ms,
         "rules.fall": 10 * rules.fall_ms,
         "rules.overload_factor": rules.overload_factor,
         "rules.start_capacity": rules.start_capacity,
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -1,4 +1,4 @@
-"""The operator's file: what is taken, what is refused, and where each complaint points."""
+"""The settings file: which files are accepted or rejected, and the position that each problem names."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 @pytest.fixture
-def sound(tmp_path):
+def valid_text(tmp_path):
     key = tmp_path / "key"
     key.touch(mode=0o600)
     key.write_bytes(b"k" * 32)
@@ -28,8 +28,8 @@
 """
 
 
-def test_a_sound_file_becomes_the_rate_card_in_the_modules_words_and_tenths(sound):
-    settings = start_settings(parse(sound))
+def test_valid_file_converts_to_start_settings_with_times_in_ticks(valid_text):
+    settings = start_settings(parse(valid_text))
     assert settings["products"][0] == {
         "name": "dear",
         "importance": 2.0,
@@ -46,14 +46,14 @@
     assert "rules.look_back" not in settings
 
 
-def test_the_rate_card_starts_the_module(sound):
+def test_start_settings_are_accepted_by_the_policy_module(valid_text):
     from curlewhall.policy import Front
 
-    assert Front(0, 1, start_settings(parse(sound))).listed(0, "whole", []) == []
+    assert Front(0, 1, start_settings(parse(valid_text))).listed(0, "whole", []) == []
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "line", "column", "field", "words"),
+    ("old", "new", "line", "column", "field", "message"),
     [
         ("port: 8080", "port: 99999", 2, 37, "listen.port", "found 99999, expected 1 to 65535"),
         (
@@ -64,7 +64,7 @@
             "listen.address",
             "an IPv4 or IPv6 address",
         ),
-        ("floor: 1", "floor: 7", 7, 35, "product[0].floor", "found 7, expected its highest rung"),
+        ("floor: 1", "floor: 7", 7, 35, "product[0].floor", "found 7, expected at most its highest rung"),
         ("port: 8082 }", 'port: 8082 url: "ftp://x" }', 4, 54, "peer[0].url", "http://ADDRESS:PORT"),
         (
             "told_late_ms: 700 }",
@@ -110,7 +110,7 @@
             6,
             53,
             "product[0].first_frame_target_ms",
-            "the time limit (3000) at most",
+            "at most the time limit (3000)",
         ),
         ("start_capacity: 0.4", "start_capacity: 0", 14, 79, "rules.start_capacity", "0.001 to 1"),
         (
@@ -145,48 +145,52 @@
         ("}\ntokens", "\ntokens", 15, 1, "", ""),
     ],
 )
-def test_a_wrong_file_is_refused_with_its_place(sound, old, new, line, column, field, words):
-    assert old in sound
+def test_invalid_file_is_rejected_with_position_and_expectation(
+    valid_text, old, new, line, column, field, message
+):
+    assert old in valid_text
     with pytest.raises(SettingsError) as caught:
-        parse(sound.replace(old, new, 1), "f")
-    complaint = caught.value.complaints[0]
-    assert (complaint.line, complaint.where) == (line, field) and words in str(complaint)
-    assert complaint.column == column or not field
+        parse(valid_text.replace(old, new, 1), "f")
+    problem = caught.value.problems[0]
+    assert (problem.line, problem.field) == (line, field) and message in str(problem)
+    assert problem.column == column or not field
 
 
-def test_all_complaints_are_told_at_once(sound):
+def test_all_problems_are_reported_at_once(valid_text):
     with pytest.raises(SettingsError) as caught:
-        parse(sound.replace("8080", "0").replace("floor: 1", "floor: 9").replace("0.4", "4"))
-    assert [c.line for c in caught.value.complaints] == [2, 7, 14]
+        parse(valid_text.replace("8080", "0").replace("floor: 1", "floor: 9").replace("0.4", "4"))
+    assert [problem.line for problem in caught.value.problems] == [2, 7, 14]
 
 
 @pytest.mark.parametrize(
-    ("mode", "size", "words"),
+    ("mode", "size", "message"),
     [
         (0o644, 32, "no access but the owner's"),
-        (0o600, 31, "32 bytes at least"),
+        (0o600, 31, "at least 32 bytes"),
         (None, 0, "a file that can"),
     ],
 )
-def test_a_key_that_others_can_read_or_guess_is_refused(sound, tmp_path, mode, size, words):
+def test_key_file_that_is_short_missing_or_readable_by_others_is_rejected(
+    valid_text, tmp_path, mode, size, message
+):
     key = tmp_path / "key"
     if mode is None:
         key.unlink()
     else:
         key.chmod(mode)
         key.write_bytes(b"k" * size)
-    with pytest.raises(SettingsError, match=words):
-        parse(sound)
+    with pytest.raises(SettingsError, match=message):
+        parse(valid_text)
 
 
-def test_bytes_that_are_no_text_are_refused_with_their_place(tmp_path):
+def test_invalid_utf8_is_rejected_with_its_position(tmp_path):
     path = tmp_path / "f"
     path.write_bytes(b'identity {\n name: "\xff" }')
     with pytest.raises(SettingsError, match="line 2, column 9: found byte 0xff, expected text in UTF-8"):
         load(path)
 
 
-def test_a_byte_order_mark_is_passed_over(sound, tmp_path):
+def test_byte_order_mark_is_ignored(valid_text, tmp_path):
     path = tmp_path / "f"
-    path.write_bytes(b"\xef\xbb\xbf" + sound.encode())
+    path.write_bytes(b"\xef\xbb\xbf" + valid_text.encode())
     assert load(path).identity.name == "front-a"
