--- a/bench/fuzz_forms.py
+++ b/bench/fuzz_forms.py
@@ -13,7 +13,7 @@
 
 with atheris.instrument_imports(include=["curlewhall.inventory", "curlewhall.members"]):
     from curlewhall.inventory import InventoryError, csvform, yamlform
-    from curlewhall.inventory.form import text_of
+    from curlewhall.inventory.form import decode_text
     from curlewhall.members import form
 
 HEAD = "host,address,port,place,zone,kind,weight,state\n"
@@ -27,7 +27,7 @@
     way = given.ConsumeIntInRange(0, 4)
     piece = given.ConsumeBytes(1 << 14)
     try:
-        text = text_of(piece)
+        text = decode_text(piece)
         if way == 0:
             csvform.read(text, places=9)
         elif way == 1:
@@ -40,7 +40,7 @@
             at = len(text) % len(YAML)
             yamlform.read(YAML[:at] + text + YAML[at:], 9)
     except InventoryError as err:
-        assert err.complaints and all(complaint.line >= 1 for complaint in err.complaints)
+        assert err.problems and all(problem.line >= 1 for problem in err.problems)
 
 
 def members(data: bytes) -> None:
--- a/curlewhall/cli/inventory.py
+++ b/curlewhall/cli/inventory.py
@@ -10,7 +10,7 @@
 
 from curlewhall.inventory import InventoryError, csvform, yamlform
 from curlewhall.inventory.decide import compare, implausible
-from curlewhall.inventory.run import YAML, Files, Read, load
+from curlewhall.inventory.run import YAML_SUFFIXES, Files, LoadedInventory, load
 
 TITLES = click.option(
     "--titles", default="", type=click.Path(dir_okay=False), help="The titles, where the file is CSV."
@@ -28,7 +28,7 @@
     """Playout nodes and titles in CSV or YAML, as configuration tools keep them."""
 
 
-def read(file: str, titles: str, places: int = 0) -> Read:
+def read(file: str, titles: str, places: int = 0) -> LoadedInventory:
     """A sound inventory; a wrong one ends the command with every complaint and code 1, no file with 2."""
     try:
         return load(Files(file, titles), places)
@@ -86,7 +86,7 @@
 def convert(file: str, out: str, titles: str, titles_out: str) -> None:
     """Write FILE in the other form, told by OUT's ending (.csv, .yaml, .yml)."""
     found = read(file, titles).inventory
-    if Path(out).suffix.lower() in YAML:
+    if Path(out).suffix.lower() in YAML_SUFFIXES:
         Path(out).write_text(yamlform.write(found))
         return
     if found.titles and not titles_out:
--- a/curlewhall/front/listing.py
+++ b/curlewhall/front/listing.py
@@ -342,7 +342,7 @@
         self.leaving = False
         if self.watcher is not None:
             self.watcher.closed = False
-            self.watcher.look()
+            self.watcher.poll()
         if self.pool is None:
             return
         if self.stream is None:
--- a/curlewhall/inventory/__init__.py
+++ b/curlewhall/inventory/__init__.py
@@ -1,8 +1,8 @@
-"""The operators' inventory: playout nodes and titles in CSV or YAML, as configuration tools keep them.
+"""The operators' inventory: playout nodes and titles in CSV or YAML, as configuration tools write them.
 
-`form` is what is in one and what may be wrong with it, `csvform` and `yamlform` read and write the two forms,
-`decide` compares two and says what is implausible (all without I/O), `run` watches the files. See
-`docs/inventory/`.
+`form` holds the data model and the validation shared by both formats, `csvform` and `yamlform` read and write
+the formats, `decide` compares two inventories and detects implausible changes (all without I/O), `run` reads
+the files and watches them for changes. See `docs/inventory/`.
 """
 
 from .form import Inventory, InventoryError
--- a/curlewhall/inventory/csvform.py
+++ b/curlewhall/inventory/csvform.py
@@ -1,47 +1,53 @@
-"""The inventory as comma-separated values (RFC 4180): one file of hosts, one of titles, a header in each."""
+"""Reads and writes the inventory as CSV (RFC 4180): a file of hosts and one of titles, each with a header."""
 
 import csv
 import io
+from collections.abc import Iterator
 
 from .form import (
-    HOST,
-    HOST_NEEDED,
-    MOST,
-    TITLE,
-    TITLE_NEEDED,
-    Checker,
-    Complaint,
+    HOST_FIELDS,
+    MAX_VALUES,
+    REQUIRED_HOST_FIELDS,
+    REQUIRED_TITLE_FIELDS,
+    TITLE_FIELDS,
     Entry,
     Inventory,
     InventoryError,
-    nearest,
+    Problem,
+    Validator,
+    suggestion,
 )
 
 
-def entries(text: str, fields: dict, needed: tuple[str, ...], file: str = "") -> list[Entry]:
-    """The rows below the header; `InventoryError` where the header or the form itself is wrong."""
+def parse_entries(
+    text: str, fields: dict[str, type], required: tuple[str, ...], file: str = ""
+) -> list[Entry]:
+    """The rows below the header; `InventoryError` if the header or the CSV syntax is invalid.
+
+    Empty lines and lines that start with `#` are skipped.
+    """
     if text and not text.endswith(("\n", "\r")):
-        last = text.count("\n") + 1
+        last_line = text.count("\n") + 1
         raise InventoryError(
-            [Complaint(last, "the last line has no end; the file may be half written", file)]
+            [Problem(last_line, "the last line has no line break; the file may be truncated", file)]
         )
     reader = csv.reader(io.StringIO(text, newline=""), strict=True)
-    wrong: list[Complaint] = []
-    found: list[Entry] = []
+    problems: list[Problem] = []
+    entries: list[Entry] = []
     header: list[str] | None = None
-    begun = 1
+    record_start = 1
     try:
         for cells in reader:
-            line, begun = begun, reader.line_num + 1
+            line, record_start = record_start, reader.line_num + 1
             if not cells or len(cells) == 1 and not cells[0].strip() or cells[0].lstrip().startswith("#"):
                 continue
             if header is None:
                 header = [cell.strip().lower() for cell in cells]
-                wrong += check_header(header, fields, needed, line, file)
+                problems += check_header(header, fields, required, line, file)
             elif len(cells) != len(header):
-                wrong.append(Complaint(line, f"{len(cells)} fields, the header has {len(header)}", file))
+                problems.append(Problem(line, f"{len(cells)} fields, the header has {len(header)}", file))
             else:
-                found.append(
+                entries.append(
                     Entry(
                         line,
                         {
@@ -52,68 +58,72 @@
                         file,
                     )
                 )
-            if len(found) * len(header) > MOST:
-                raise InventoryError([Complaint(line, f"more than {MOST} values", file)])
+            if len(entries) * len(header) > MAX_VALUES:
+                raise InventoryError([Problem(line, f"more than {MAX_VALUES} values", file)])
     except csv.Error as err:
-        wrong.append(Complaint(begun, f"not comma-separated values: {err}", file))
-    if header is None and not wrong:
-        wrong.append(Complaint(1, "empty: not even a header", file))
-    if wrong:
-        raise InventoryError(wrong)
-    return found
+        problems.append(Problem(record_start, f"not comma-separated values: {err}", file))
+    if header is None and not problems:
+        problems.append(Problem(1, "the file is empty, expected a header line", file))
+    if problems:
+        raise InventoryError(problems)
+    return entries
 
 
-def check_header(header: list[str], fields: dict, needed: tuple[str, ...], line: int, file: str):
-    for name in needed:
+def check_header(
+    header: list[str], fields: dict[str, type], required: tuple[str, ...], line: int, file: str
+) -> Iterator[Problem]:
+    """Reports missing, unknown and duplicate columns."""
+    for name in required:
         if name not in header:
-            yield Complaint(line, f"column {name!r} is missing", file)
+            yield Problem(line, f"column {name!r} is missing", file)
     for i, name in enumerate(header):
         if name not in fields:
-            yield Complaint(line, f"unknown column {name!r}{nearest(name, fields)}", file)
+            yield Problem(line, f"unknown column {name!r}{suggestion(name, fields)}", file)
         elif name in header[:i]:
-            yield Complaint(line, f"column {name!r} stands twice", file)
+            yield Problem(line, f"duplicate column {name!r}", file)
 
 
 def read(
     hosts: str, titles: str | None = None, places: int = 0, names: tuple[str, str] = ("", "")
 ) -> Inventory:
-    """A sound inventory, or `InventoryError` with all that is wrong with it. `names`: the files', for
-    complaints.
+    """Parses and validates the texts of the two files; `InventoryError` with every problem.
+
+    `places` is the number of places in the fleet (0: unknown), `names` are the file names for error messages.
     """
-    checker = Checker()
-    for text, fields, needed, name, take in (
-        (hosts, HOST, HOST_NEEDED, names[0], checker.host),
-        (titles, TITLE, TITLE_NEEDED, names[1], checker.title),
+    validator = Validator()
+    for text, fields, required, name, add in (
+        (hosts, HOST_FIELDS, REQUIRED_HOST_FIELDS, names[0], validator.add_host),
+        (titles, TITLE_FIELDS, REQUIRED_TITLE_FIELDS, names[1], validator.add_title),
     ):
         if text is None:
             continue
         try:
-            for entry in entries(text, fields, needed, name):
-                take(entry)
+            for entry in parse_entries(text, fields, required, name):
+                add(entry)
         except InventoryError as err:
-            checker.complaints += err.complaints
-    return checker.done(places)
+            validator.problems += err.problems
+    return validator.finish(places)
 
 
 def write(inventory: Inventory) -> tuple[str, str]:
-    """The texts of the two files."""
-    out = []
+    """The texts of the hosts file and of the titles file."""
+    texts = []
     for header, rows in (
         (
-            list(HOST),
+            list(HOST_FIELDS),
             [
                 (r.node, r.address, r.port, r.place, r.zone, r.kind, f"{r.weight:g}", r.state)
                 for r in inventory.rows.values()
             ],
         ),
         (
-            list(TITLE),
+            list(TITLE_FIELDS),
             [(t.title, t.first_place, t.places, f"{t.length_s:g}") for t in inventory.titles.values()],
         ),
     ):
-        text = io.StringIO()
-        writer = csv.writer(text, lineterminator="\n")
+        buffer = io.StringIO()
+        writer = csv.writer(buffer, lineterminator="\n")
         writer.writerow(header)
         writer.writerows(rows)
-        out.append(text.getvalue())
-    return out[0], out[1]
+        texts.append(buffer.getvalue())
+    return texts[0], texts[1]
--- a/tests/inventory/test_forms.py
+++ b/tests/inventory/test_forms.py
@@ -1,4 +1,4 @@
-"""Inventories as people and tools write them: what is taken, what is refused and on which line."""
+"""Parsing of CSV and YAML inventories: what is accepted, and which problems are reported on which line."""
 
 import time
 
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 
 from curlewhall.inventory import Inventory, InventoryError, csvform, yamlform
-from curlewhall.inventory.decide import FEW, applied, compare, implausible
-from curlewhall.inventory.form import MOST, text_of
+from curlewhall.inventory.decide import MIN_SERVING_NODES, compare, implausible, rows_in_effect
+from curlewhall.inventory.form import MAX_VALUES, decode_text
 from curlewhall.wire.forms import Row, Title
 
 HEAD = "host,address,port,place,zone,kind,weight,state\n"
@@ -29,10 +29,10 @@
 """
 
 
-def wrong(read, *facts):
+def problems_of(read, *arguments):
     with pytest.raises(InventoryError) as found:
-        read(*facts)
-    return [(c.line, c.text) for c in found.value.complaints]
+        read(*arguments)
+    return [(problem.line, problem.message) for problem in found.value.problems]
 
 
 @pytest.mark.parametrize(
@@ -45,12 +45,14 @@
             9,
         ),
         lambda: csvform.read(
-            text_of("\ufeff".encode() + (HEAD + LINE + NEXT.replace(",,", ",1,draining")).encode()), TITLES, 9
+            decode_text("\ufeff".encode() + (HEAD + LINE + NEXT.replace(",,", ",1,draining")).encode()),
+            TITLES,
+            9,
         ),
         lambda: yamlform.read(YAML, 9),
     ],
 )
-def test_both_forms_say_the_same(read):
+def test_csv_and_yaml_give_the_same_inventory(read):
     found = read()
     assert list(found.rows) == ["media-07.example.org", "media-08.example.org"]
     assert found.rows["media-08.example.org"] == Row(
@@ -60,23 +62,27 @@
 
 
 @pytest.mark.parametrize(
-    ("hosts", "line", "words"),
+    ("hosts", "line", "message"),
     [
-        (HEAD + LINE + LINE.replace("10.0.0.7", "10.0.0.9"), 3, "stands on line 2 already"),
+        (HEAD + LINE + LINE.replace("10.0.0.7", "10.0.0.9"), 3, "is already defined on line 2"),
         (
             HEAD + LINE + LINE.replace("10.0.0.7", "10.0.0.9").replace(".org", ".org."),
             3,
-            "(spelt 'media-07.example.org'",
+            "on line 2 (as 'media-07.example.org'",
+        ),
+        (
+            HEAD + LINE + LINE.replace("10.0.0.7", "10.0.0.9").replace("media", "MEDIA"),
+            3,
+            "already defined on line 2 (as",
         ),
-        (HEAD + LINE + LINE.replace("10.0.0.7", "10.0.0.9").replace("media", "MEDIA"), 3, "already (spelt"),
         (
             HEAD + LINE + LINE.replace("07", "09"),
             3,
-            "address 10.0.0.7 port 8400 is that of 'media-07.example.",
+            "address 10.0.0.7 port 8400 is already used by 'media-07.example.",
         ),
         (HEAD.replace(",port", "") + LINE, 1, "column 'port' is missing"),
         (HEAD.replace("zone", "zome") + LINE, 1, "unknown column 'zome'; did you mean 'zone'?"),
-        (HEAD.replace("zone", "kind") + LINE, 1, "column 'kind' stands twice"),
+        (HEAD.replace("zone", "kind") + LINE, 1, "duplicate column 'kind'"),
         (HEAD + LINE.replace("8400", "84000"), 2, "port: found 84000, expected 1 to 65535"),
         (HEAD + LINE.replace("8400", "8400.0"), 2, "port: found '8400.0', expected a whole number"),
         (HEAD + LINE.replace("8400", "²"), 2, "expected a whole number"),
@@ -86,46 +92,46 @@
         (HEAD + LINE.replace("serving", "asleep"), 2, "expected serving or draining"),
         (HEAD + LINE.replace("10.0.0.7", ""), 2, "address is missing"),
         (HEAD + LINE.replace(",box", ""), 2, "7 fields, the header has 8"),
-        (HEAD + LINE + NEXT[:-1], 3, "may be half written"),
-        (HEAD + LINE + '"media', 3, "may be half written"),
+        (HEAD + LINE + NEXT[:-1], 3, "may be truncated"),
+        (HEAD + LINE + '"media', 3, "may be truncated"),
         (HEAD + LINE + '"media\n', 3, "not comma-separated values"),
-        (HEAD, 1, "no host stands in it"),
-        ("", 1, "empty: not even a header"),
+        (HEAD, 1, "no host found"),
+        ("", 1, "the file is empty, expected a header line"),
     ],
 )
-def test_a_wrong_table_is_refused_with_its_line(hosts, line, words):
-    found = wrong(csvform.read, hosts)
-    assert any(at == line and words in text for at, text in found), found
+def test_invalid_csv_is_rejected_with_line_number(hosts, line, message):
+    found = problems_of(csvform.read, hosts)
+    assert any(at == line and message in text for at, text in found), found
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "line", "words"),
+    ("old", "new", "line", "message"),
     [
-        ("media-08", "media-07", 5, "'media-07.example.org' stands on line 4 already"),
-        ("media-08", "Media-07", 5, "stands on line 4 already (spelt"),
+        ("media-08", "media-07", 5, "'media-07.example.org' is already defined on line 4"),
+        ("media-08", "Media-07", 5, "is already defined on line 4 (as"),
         ("      place: 7\n", "", 5, "place is missing"),
         ("place: 6", "place: six", 4, "place: found 'six', expected a whole number"),
         ("place: 6", "place: [6]", 4, "found a sequence, expected one value"),
         ("place: 6", "plaice: 6", 4, "unknown field 'plaice'; did you mean 'place'?"),
-        ("10.0.0.8", "10.0.0.7", 5, "is that of"),
+        ("10.0.0.8", "10.0.0.7", 5, "is already used by"),
         ("{port: 8400, kind: box}", "[1]", 2, "found sequence, expected a mapping"),
         ("{port: 8400, kind: box}", "{port: 8400, kind: box, rack: 3}", 2, "vars: unknown field 'rack'"),
         ("  hosts:", "  host:", 3, "found 'host', expected vars, hosts or children"),
         ("places: 2", "places: 0", 11, "places: found 0"),
-        ("first_place: 6", "first_place: 1", 11, "no holder: no host lies at place 1, 2"),
+        ("first_place: 6", "first_place: 1", 11, "no holder: no host is at place 1, 2"),
         ("    media-08", "\tmedia-08", 5, "not YAML"),
-        ("media:", "media: &a\n  children: {b: *a}", 1, "mappings within each other"),
-        ("titles:", "---\ntitles:", 1, "2 documents, expected one"),
+        ("media:", "media: &a\n  children: {b: *a}", 1, "mappings nested more than"),
+        ("titles:", "---\ntitles:", 1, "found 2 documents, expected one"),
         ("state: draining", "state: !!python/object:os.system x", 5, "state: found 'x'"),
     ],
 )
-def test_wrong_yaml_is_refused_with_its_line(old, new, line, words):
+def test_invalid_yaml_is_rejected_with_line_number(old, new, line, message):
     assert old in YAML
-    found = wrong(yamlform.read, YAML.replace(old, new, 1), 9)
-    assert any(at == line and words in text for at, text in found), found
+    found = problems_of(yamlform.read, YAML.replace(old, new, 1), 9)
+    assert any(at == line and message in text for at, text in found), found
 
 
-def test_groups_within_groups_and_merge_keys():
+def test_nested_groups_inherit_variables_and_merge_keys_are_resolved():
     text = """
 base: &base
   vars: {kind: box, port: 1}
@@ -145,38 +151,38 @@
     assert (rows["b"].kind, rows["b"].port, rows["b"].zone) == ("tin", 7, "south")
 
 
-def test_a_bomb_of_aliases_ends_early():
+def test_alias_bomb_is_rejected_in_bounded_time():
     rows = ["a0: &a0 {hosts: {}}"] + [
         f"a{i}: &a{i} {{<<: [{', '.join([f'*a{i - 1}'] * 9)}]}}" for i in range(1, 30)
     ]
     began = time.process_time()
-    found = wrong(yamlform.read, "\n".join(rows) + "\n")
-    assert any(f"more than {MOST} values" in text or "within each other" in text for _, text in found)
+    found = problems_of(yamlform.read, "\n".join(rows) + "\n")
+    assert any(f"more than {MAX_VALUES} values" in text or "nested" in text for _, text in found)
     assert time.process_time() - began < 20
 
 
 @pytest.mark.parametrize(
-    ("raw", "line", "words"),
+    ("raw", "line", "message"),
     [
         (b"host\nm\xfcller\n", 2, "byte 0xfc is not UTF-8"),
         ("host\n".encode("utf-16-le"), 1, "is it UTF-16?"),
         (b"\xff\xfeh\0", 1, "byte 0xff"),
     ],
 )
-def test_other_encodings_are_told(raw, line, words):
-    ((at, text),) = wrong(text_of, raw)
-    assert at == line and words in text
+def test_other_encodings_are_rejected_with_line_number(raw, line, message):
+    ((at, text),) = problems_of(decode_text, raw)
+    assert at == line and message in text
 
 
 @settings(max_examples=300, deadline=None, derandomize=True, database=None)
 @given(st.text(alphabet=st.sampled_from("host,address:{}[]&*<\"'\n-#!| %0123456789.\tabz\\"), max_size=200))
-def test_any_text_is_sound_or_refused(text):
+def test_any_text_gives_an_inventory_or_an_inventory_error(text):
     for read in (csvform.read, yamlform.read):
-        for given_text in (text, HEAD + text, YAML + text):
+        for candidate in (text, HEAD + text, YAML + text):
             try:
-                assert isinstance(read(given_text), Inventory)
+                assert isinstance(read(candidate), Inventory)
             except InventoryError as err:
-                assert all(c.line >= 1 for c in err.complaints)
+                assert all(problem.line >= 1 for problem in err.problems)
 
 
 NAMES = st.text(alphabet=st.characters(codec="utf-8", categories=("L", "N", "P")), min_size=1, max_size=12)
@@ -192,7 +198,7 @@
     ),
     st.dictionaries(NAMES, st.integers(0, 50), max_size=5),
 )
-def test_what_is_written_is_read_again(hosts, titles):
+def test_written_inventory_reads_back_equal(hosts, titles):
     hosts = [row for row in hosts if not row[0].startswith("#")]
     rows = {
         name: Row(name, f"10.0.0.{i + 1}", 80, place, "z", "k", state, 0.5)
@@ -200,11 +206,11 @@
     }
     if not rows:
         return
-    whole = Inventory(
+    inventory = Inventory(
         rows, {name: Title(name, first, 2, 1.5) for name, first in titles.items() if not name.startswith("#")}
     )
-    assert csvform.read(*csvform.write(whole)) == whole
-    assert yamlform.read(yamlform.write(whole)) == whole
+    assert csvform.read(*csvform.write(inventory)) == inventory
+    assert yamlform.read(yamlform.write(inventory)) == inventory
 
 
 def fleet(count, **changes):
@@ -218,31 +224,31 @@
 
 
 @pytest.mark.parametrize(
-    ("count", "changes", "waits"),
+    ("count", "changes", "expected"),
     [
         (10, {f"n{i}": None for i in range(5)}, ""),
         (10, {f"n{i}": None for i in range(6)}, "6 of 10 serving nodes"),
-        (10, {f"n{i}": {"state": "draining"} for i in range(6)}, "would be gone or drain"),
-        (10, {f"n{i}": {"address": f"10.1.0.{i}"} for i in range(6)}, "would be elsewhere"),
-        (FEW - 1, {"n0": None, "n1": None}, ""),
+        (10, {f"n{i}": {"state": "draining"} for i in range(6)}, "would be removed or drained"),
+        (10, {f"n{i}": {"address": f"10.1.0.{i}"} for i in range(6)}, "would change address or place"),
+        (MIN_SERVING_NODES - 1, {"n0": None, "n1": None}, ""),
     ],
 )
-def test_an_implausible_change_waits(count, changes, waits):
+def test_change_of_more_than_half_of_the_serving_nodes_is_implausible(count, changes, expected):
     old, new = fleet(count), fleet(count, **changes)
     why = implausible(old, compare(old, new))
-    assert waits in why and bool(why) == bool(waits)
+    assert expected in why and bool(why) == bool(expected)
 
 
-def test_a_difference_names_each_change_once():
+def test_difference_lists_each_change_once():
     old = fleet(4, n3={"state": "draining"})
     new = fleet(5, n0=None, n1={"state": "draining"}, n2={"weight": 2.0, "zone": "y"})
     found = compare(old, new)
     assert found.lines() == ["+ n4", "- n0", "> n1 drains", "< n3 serves again", "~ n2: zone, weight"]
-    assert not compare(old, old) and compare(old, Inventory(old.rows, {})).titles_gone == ["t"]
+    assert not compare(old, old) and compare(old, Inventory(old.rows, {})).titles_removed == ["t"]
 
 
-@pytest.mark.parametrize(("now", "held", "stays"), [(5, 3, True), (5, 0, False), (10, 3, False)])
-def test_a_node_taken_out_with_plays_leaves_once_it_is_empty_or_its_time_is_over(now, held, stays):
+@pytest.mark.parametrize(("now", "plays", "stays"), [(5, 3, True), (5, 0, False), (10, 3, False)])
+def test_removed_node_drains_until_empty_or_past_its_deadline(now, plays, stays):
     row = Row("out", "10.9.9.9", 80, 1, "z", "k", "draining")
-    rows, left = applied(now, fleet(2), {"out": (row, 10)}, {"out": held})
-    assert (row in rows) is stays and ("out" in left) is stays
+    rows, draining = rows_in_effect(now, fleet(2), {"out": (row, 10)}, {"out": plays})
+    assert (row in rows) is stays and ("out" in draining) is stays
--- a/tests/inventory/test_watch.py
+++ b/tests/inventory/test_watch.py
@@ -1,4 +1,4 @@
-"""Inventory files swapped while they are watched, and under a running front."""
+"""Inventory files that change while a `Watcher` polls them, alone and in a running front; the commands."""
 
 import os
 import subprocess
@@ -11,19 +11,19 @@
 from curlewhall.drills.baselines import TwoDrawn
 from curlewhall.front.driver import Clock
 from curlewhall.inventory import Inventory, yamlform
-from curlewhall.inventory.run import EVERY, Files, Watcher
+from curlewhall.inventory.run import POLL_INTERVAL_S, Files, Watcher
 from curlewhall.wire.forms import Row, Title
 
 
-def text(count, **changes):
+def inventory_text(count, **changes):
     rows = {f"n{i}": Row(f"n{i}", f"10.0.0.{i + 1}", 80, i, "z", "k") for i in range(count)}
     for node, state in changes.items():
         rows[node] = Row(*[state if f == "state" else getattr(rows[node], f) for f in Row.__struct_fields__])
     return yamlform.write(Inventory(rows, {}))
 
 
-class Hand:
-    """Timers that go off when a test says so."""
+class ManualTimers:
+    """Timers that fire when a test calls `fire`; they advance the clock by one poll interval."""
 
     def __init__(self):
         self.calls, self.time = [], 100.0
@@ -35,39 +35,39 @@
     def cancel(self):
         self.calls.clear()
 
-    def look(self, times=2):
+    def fire(self, times=2):
         for _ in range(times):
-            self.time += EVERY
+            self.time += POLL_INTERVAL_S
             calls, self.calls = self.calls, []
             for call in calls:
                 call()
 
 
-class Log:
+class RecordingLog:
     def __init__(self):
-        self.said = []
+        self.entries = []
 
     def __getattr__(self, level):
-        return lambda event, **facts: self.said.append((level, event, facts))
+        return lambda event, **fields: self.entries.append((level, event, fields))
 
 
 @pytest.fixture
 def rig(tmp_path):
-    hand, log, taken, held = Hand(), Log(), [], {}
+    timers, log, published, plays = ManualTimers(), RecordingLog(), [], {}
     path = tmp_path / "fleet.yaml"
-    path.write_text(text(8))
+    path.write_text(inventory_text(8))
     watcher = Watcher(
         Files(str(path)),
         0,
         100_000,
-        hand,
-        Clock(lambda: hand.time),
+        timers,
+        Clock(lambda: timers.time),
         log,
-        lambda rows, titles: taken.append({r.node: r.state for r in rows}),
-        lambda node: held.get(node, 0),
+        lambda rows, titles: published.append({r.node: r.state for r in rows}),
+        lambda node: plays.get(node, 0),
     )
     watcher.start()
-    return watcher, path, hand, log, taken, held
+    return watcher, path, timers, log, published, plays
 
 
 def by_rename(path, new):
@@ -87,95 +87,95 @@
 
 
 @pytest.mark.parametrize("replace", [by_rename, in_place, by_link])
-def test_a_changed_file_is_taken_however_it_is_put_there(rig, replace):
-    watcher, path, hand, log, taken, _ = rig
-    assert len(taken[-1]) == 8
-    replace(path, text(9, n1="draining"))
-    hand.look()
-    assert len(taken) == 2 and len(taken[-1]) == 9 and taken[-1]["n1"] == "draining"
-    hand.look(5)
-    assert len(taken) == 2
+def test_changed_file_is_used_after_rename_rewrite_or_relink(rig, replace):
+    watcher, path, timers, log, published, _ = rig
+    assert len(published[-1]) == 8
+    replace(path, inventory_text(9, n1="draining"))
+    timers.fire()
+    assert len(published) == 2 and len(published[-1]) == 9 and published[-1]["n1"] == "draining"
+    timers.fire(5)
+    assert len(published) == 2
 
 
 @pytest.mark.parametrize(
     "bad",
-    ["media: [", "", text(9)[:-30], text(9).replace("port: 80", "port: 0", 1), None],
+    ["media: [", "", inventory_text(9)[:-30], inventory_text(9).replace("port: 80", "port: 0", 1), None],
     ids=["yaml", "empty", "cut", "figure", "gone"],
 )
-def test_a_bad_file_is_told_once_and_the_last_good_list_kept(rig, bad):
-    watcher, path, hand, log, taken, _ = rig
+def test_invalid_file_is_logged_once_and_the_last_valid_inventory_kept(rig, bad):
+    watcher, path, timers, log, published, _ = rig
     path.unlink() if bad is None else path.write_text(bad)
-    hand.look(6)
-    assert len(taken) == 1 and [level for level, *_ in log.said].count("error") == 1
+    timers.fire(6)
+    assert len(published) == 1 and [level for level, *_ in log.entries].count("error") == 1
     assert watcher.state()["complaints"] and watcher.state()["nodes"] == 8
-    path.write_text(text(10))
-    hand.look()
-    assert len(taken[-1]) == 10 and not watcher.state()["complaints"]
+    path.write_text(inventory_text(10))
+    timers.fire()
+    assert len(published[-1]) == 10 and not watcher.state()["complaints"]
 
 
-def test_a_file_that_is_being_written_is_not_read(rig):
-    watcher, path, hand, log, taken, _ = rig
-    whole = text(12)
-    for end in range(100, len(whole), 100):  # it grows between every two looks
+def test_file_that_is_still_growing_is_not_read(rig):
+    watcher, path, timers, log, published, _ = rig
+    whole = inventory_text(12)
+    for end in range(100, len(whole), 100):  # the file grows between any two polls
         path.write_text(whole[:end])
-        hand.look(1)
-    assert len(taken) == 1 and not [row for row in log.said if row[0] == "error"]
+        timers.fire(1)
+    assert len(published) == 1 and not [row for row in log.entries if row[0] == "error"]
     path.write_text(whole)
-    hand.look()
-    assert len(taken[-1]) == 12
-
-
-def test_an_implausible_change_waits_for_a_word(rig):
-    watcher, path, hand, log, taken, _ = rig
-    path.write_text(text(3))
-    hand.look()
-    assert len(taken) == 1 and (digest := watcher.state()["waiting"])
-    assert "is" in watcher.confirm("another") and watcher.confirm(digest) == ""
-    assert len(taken[-1]) == 3 and not watcher.waiting
-    assert watcher.confirm(digest) == "no change waits to be confirmed"
-
-
-def test_the_word_is_for_one_change_only(rig):
-    watcher, path, hand, log, taken, _ = rig
-    path.write_text(text(3))
-    hand.look()
-    digest = watcher.waiting
-    path.write_text(text(2))
-    assert "the file is" in watcher.confirm(digest) and len(taken) == 1
-
-
-def test_a_node_taken_out_drains_first(rig):
-    watcher, path, hand, log, taken, held = rig
-    held["n7"] = 2
-    path.write_text(text(7))
-    hand.look()
-    assert taken[-1]["n7"] == "draining" and watcher.state()["leaving"] == ["n7"]
-    held["n7"] = 0
-    hand.look()
-    assert "n7" not in taken[-1] and not watcher.leaving
-
-
-def test_a_restart_checks_against_what_was_served_before(tmp_path):
-    hand, log, taken = Hand(), Log(), []
+    timers.fire()
+    assert len(published[-1]) == 12
+
+
+def test_implausible_change_is_used_only_after_confirmation(rig):
+    watcher, path, timers, log, published, _ = rig
+    path.write_text(inventory_text(3))
+    timers.fire()
+    assert len(published) == 1 and (digest := watcher.state()["waiting"])
+    assert f"has digest {digest}" in watcher.confirm("another") and watcher.confirm(digest) == ""
+    assert len(published[-1]) == 3 and not watcher.pending_digest
+    assert watcher.confirm(digest) == "no inventory change needs confirmation"
+
+
+def test_confirmation_does_not_apply_to_a_later_change(rig):
+    watcher, path, timers, log, published, _ = rig
+    path.write_text(inventory_text(3))
+    timers.fire()
+    digest = watcher.pending_digest
+    path.write_text(inventory_text(2))
+    assert "the file has" in watcher.confirm(digest) and len(published) == 1
+
+
+def test_removed_node_with_plays_drains_first(rig):
+    watcher, path, timers, log, published, plays = rig
+    plays["n7"] = 2
+    path.write_text(inventory_text(7))
+    timers.fire()
+    assert published[-1]["n7"] == "draining" and watcher.state()["leaving"] == ["n7"]
+    plays["n7"] = 0
+    timers.fire()
+    assert "n7" not in published[-1] and not watcher.removed
+
+
+def test_restart_checks_the_file_against_the_previous_inventory(tmp_path):
+    timers, log, published = ManualTimers(), RecordingLog(), []
     path = tmp_path / "fleet.yaml"
-    path.write_text(text(2))
-    old = yamlform.read(text(8))
+    path.write_text(inventory_text(2))
+    old = yamlform.read(inventory_text(8))
     watcher = Watcher(
         Files(str(path)),
         0,
         1000,
-        hand,
-        Clock(lambda: hand.time),
+        timers,
+        Clock(lambda: timers.time),
         log,
-        lambda rows, titles: taken.append(rows),
+        lambda rows, titles: published.append(rows),
         lambda node: 0,
         lambda: old,
     )
     watcher.start()
-    assert not taken and watcher.waiting
+    assert not published and watcher.pending_digest
 
 
-class Filed(Deployment):
+class FileDeployment(Deployment):
     """A deployment whose front knows its nodes from a file alone."""
 
     def write(self, nodes):
@@ -189,16 +189,18 @@
 
 
 @looped
-async def test_a_front_lives_on_its_inventory_alone(tmp_path):
-    place = Filed(tmp_path, nodes=4)
+async def test_front_runs_on_its_inventory_without_a_list_service(tmp_path):
+    place = FileDeployment(tmp_path, nodes=4)
     place.write(["n000", "n001", "n002", "n003"])
     service = place.plan["list_service"]
-    text_of_it = (
+    list_service_text = (
         f'list_service {{\n  address: "{service["address"]}"\n  port: {service["port"]}\n'
         f'  kept_file: "{tmp_path}/front-0.list"\n}}\n'
     )
     try:
-        await place.open(TwoDrawn, old=text_of_it, new=f'inventory {{ file: "{tmp_path}/fleet.yaml" }}\n')
+        await place.open(
+            TwoDrawn, old=list_service_text, new=f'inventory {{ file: "{tmp_path}/fleet.yaml" }}\n'
+        )
         front = place.fronts[0]
         assert front.follower.pool is None
         _, plan = await place.ask()
@@ -208,13 +210,13 @@
             lambda: front.follower.as_inventory() is not None
             and held.node not in front.follower.as_inventory().rows
         )
-        assert front.driver.counts["moved"] == 1  # taken out of the file: moved, then gone
+        assert front.driver.counts["moved"] == 1  # the play was moved before the node was dropped
         assert (await place.segment(plan, 2)).status == 410
     finally:
         await place.close()
 
 
-def test_the_command_line(tmp_path):
+def test_inventory_commands_report_and_exit_as_documented(tmp_path):
     def command(*words):
         return subprocess.run(
             [sys.executable, "-m", "curlewhall", "inventory", *map(str, words)],
@@ -224,15 +226,15 @@
         )
 
     one, two, bad = tmp_path / "one.yaml", tmp_path / "two.csv", tmp_path / "bad.yml"
-    one.write_text(text(8))
-    bad.write_text(text(8).replace("port: 80", "port: 0", 1))
+    one.write_text(inventory_text(8))
+    bad.write_text(inventory_text(8).replace("port: 80", "port: 0", 1))
     assert "sound: 8 nodes (8 serving), 0 titles" in command("check", one).stdout
     done = command("check", bad)
     assert done.returncode == 1 and f"{bad}, line " in done.stderr and "port: found 0" in done.stderr
     assert command("convert", one, two).returncode == 0
     done = command("diff", one, two)
     assert (done.returncode, done.stdout) == (0, "")
-    one.write_text(text(3))
+    one.write_text(inventory_text(3))
     done = command("diff", two, one)
     assert done.returncode == 4 and done.stdout.count("- n") == 5 and "person's word" in done.stderr
     assert command("check", tmp_path / "nowhere.csv").returncode == 2
