--- a/tests/relay/test_standing.py
+++ b/tests/relay/test_standing.py
@@ -7,8 +7,8 @@
 import time
 
 import pytest
-from loopback import looped
-from relay.test_relay_process import config, run
+from loopback import looped, poll
+from relay.test_relay_process import config, run, try_connect
 
 from curlewhall.codecs import messages
 from curlewhall.standins.platform import Platform, abort
@@ -44,6 +44,9 @@
                 await asyncio.to_thread(run, self.tmp_path, text, f"{i}.json", RELAY_NAME=f"n{i}")
             )
         await self.wait_until(lambda: len(self.platform.channel.lines) >= fronts)
+        # A front that reconnects to the channel is counted twice there, so each has to listen as well.
+        for _, port in self.fronts:
+            (await asyncio.to_thread(poll, lambda port=port: try_connect(port))).close()
         return self
 
     async def wait_until(self, condition):
