--- a/bench/sites_sim.py
+++ b/bench/sites_sim.py
@@ -22,7 +22,7 @@
 
 from curlewhall.drills.fleet import make_plan, settings
 from curlewhall.front.driver import ActivePlay, Clock, Driver
-from curlewhall.front.listing import Follower
+from curlewhall.front.listing import ListFollower
 from curlewhall.policy import Front
 from curlewhall.relay.null_objects import NoMoves
 from curlewhall.settings import parse, start_settings
@@ -304,13 +304,13 @@
             else None
         )
         self.peers = self.driver.peers = self
-        self.follower = Follower(self.driver, None, f"f{index}")
+        self.follower = ListFollower(self.driver, None, f"f{index}")
         self.driver.sites = NoSites()
         if world.variant != "before":
             self.driver.sites = Seen(self, index, seed * 1000 + index, lambda: world.titles)
             self.driver.sites.start()
         rows = [node.row("serving") for node in world.nodes.values()]
-        self.follower.take(forms.Listing("whole", 1, 0, rows, list(world.titles.values())), "whole")
+        self.follower.apply_listing(forms.Listing("whole", 1, 0, rows, list(world.titles.values())), "whole")
         for node in self.driver.module.nodes.values():
             node.cold_since = float("-inf")
 
@@ -415,10 +415,10 @@
             "probed", name, "ok" if node.up else "unreached", 30, node.report() if node.up else {}
         )
 
-    def look(self, name, span):
-        self.world.after(0.003, self.looked, name)
+    def check_node(self, name, span):
+        self.world.after(0.003, self.check_done, name)
 
-    def looked(self, name):
+    def check_done(self, name):
         node = self.world.nodes[name]
         self.driver.sites.node_contact(name, "answered" if node.up else "refused")
 
@@ -442,7 +442,7 @@
         """Of nodes and of moves: nothing is kept here."""
 
     def changes(self, rows):
-        self.follower.take(forms.Listing("changes", 1, 1, rows), "changes")
+        self.follower.apply_listing(forms.Listing("changes", 1, 1, rows), "changes")
 
     def address(self, name):
         return name
--- a/curlewhall/cli/daemon.py
+++ b/curlewhall/cli/daemon.py
@@ -63,7 +63,7 @@
     from curlewhall.daemon.run import Daemon, FolderInUseError
     from curlewhall.settings import front_pb2
 
-    log = logs.make(front_pb2.LogForm.Name(found.logs.form).lower(), found.logs.level or "info")
+    log = logs.make_logger(front_pb2.LogForm.Name(found.logs.form).lower(), found.logs.level or "info")
 
     async def run() -> None:
         await Daemon(os.path.abspath(file), found, log, policy, mover).run()
--- a/curlewhall/cli/main.py
+++ b/curlewhall/cli/main.py
@@ -51,9 +51,11 @@
 
     found = settings_of(file)
     form = front_pb2.LogForm.Name(found.logs.form).lower()
-    log = logs.make(form, found.logs.level or "info")
+    log = logs.make_logger(form, found.logs.level or "info")
     try:
-        running.run(found, log, *(running.policy(name) if name else None for name in (policy, mover, sites)))
+        running.run(
+            found, log, *(running.load_class(name) if name else None for name in (policy, mover, sites))
+        )
     except (OSError, ValueError) as err:
         click.echo(f"can't start: {err}", err=True)
         sys.exit(1)
@@ -123,7 +125,7 @@
     """
     from curlewhall.drills import DRILLS, FRONTS, Day, run
     from curlewhall.drills.fleet import DrillProcessError
-    from curlewhall.front.serve import policy as named
+    from curlewhall.front.serve import load_class as named
 
     console = Console(stderr=True)
     if name not in DRILLS:
--- a/curlewhall/console/run.py
+++ b/curlewhall/console/run.py
@@ -201,7 +201,7 @@
         else:
             back = given.get("back", "") == "1"
             self.front.log.info("drain at the console", node=given["node"], back=back)
-            self.front.follower.drain(given["node"], back=back)
+            self.front.follower.drain_node(given["node"], back=back)
             exchange.reply(303, SAFE | {"location": "/"})
 
     # ---- live
--- a/curlewhall/console/view.py
+++ b/curlewhall/console/view.py
@@ -33,10 +33,14 @@
     racks = max(1, driver.start_settings["specifics.shelves"])
     zones: dict[str, dict[int, list]] = defaultdict(lambda: defaultdict(list))
     for name, node in sorted(front.nodes.nodes.items()):
-        row = front.follower.shown(node.row)
+        row = front.follower.with_local_drain(node.row)
         load = mover.node_loads.get(name)
         known = load is not None and now - load.reported_at <= FRESH
-        state = row.state if row.state != "serving" or node.stream is not None and node.greeted else "silent"
+        state = (
+            row.state
+            if row.state != "serving" or node.stream is not None and node.hello_received
+            else "silent"
+        )
         zones[row.zone][row.place % racks].append(
             {
                 "node": name,
@@ -80,8 +84,8 @@
         "index": front.file.identity.index,
         "fronts": front.file.identity.fronts,
         "zone": front.file.identity.zone,
-        "address": front.viewers.url,
-        "taking": front.viewers.open,
+        "address": front.viewers.public_url,
+        "taking": front.viewers.accepting,
         "counts": dict(counts),
         "held": sum(len(plays) for plays in driver.moves.mover.plays_by_node.values()),
         "setting_up": len(driver.plays)
@@ -95,14 +99,14 @@
         "moves": moves(front, now),
         "list": {
             "version": front.follower.version,
-            "reached": not front.follower.failing,
+            "reached": not front.follower.service_failing,
             "titles": len(front.viewers.titles),
         },
         "peers": [
             {
                 "index": index,
                 "address": f"{address[0]}:{address[1]}",
-                "heard": seconds(now, front.peers.heard.get(index)),
+                "heard": seconds(now, front.peers.last_heard_at.get(index)),
             }
             for index, address in sorted(front.peers.addresses.items())
         ],
--- a/curlewhall/daemon/handover.py
+++ b/curlewhall/daemon/handover.py
@@ -132,7 +132,7 @@
         front, driver = self.front, self.driver
         front.server.pause()
         front.nodes.leaving = True
-        front.follower.leave()
+        front.follower.pause_following()
         front.close_peers()
         if front.console is not None:
             front.console.close()
@@ -142,16 +142,23 @@
         follower = front.follower
         rows, titles = list(follower.rows.values()), list(follower.titles.values())
         for few in pieces(rows):
-            say("list", _pack(Lists(few, [], follower.version, sorted(follower.drained), follower.asks.life)))
+            say(
+                "list",
+                _pack(
+                    Lists(
+                        few, [], follower.version, sorted(follower.drained_nodes), follower.subscription.life
+                    )
+                ),
+            )
         for few in pieces(titles):
-            say("list", _pack(Lists([], few, follower.version, [], follower.asks.life)))
-        for few in pieces((name, node.since) for name, node in front.nodes.nodes.items()):
+            say("list", _pack(Lists([], few, follower.version, [], follower.subscription.life)))
+        for few in pieces((name, node.last_seen_at) for name, node in front.nodes.nodes.items()):
             say("known", _pack(few))
         for few in pieces(self.reports()):
             say("reports", _pack(few))
         found = {
             active_play.info.play
-            for active_plays in front.viewers.found.values()
+            for active_plays in front.viewers.resumed_plays.values()
             for active_play in active_plays
         }
         plays = [
@@ -170,7 +177,7 @@
             say("flights", _pack(few))
         kept = [
             (old, active_play.info.play)
-            for old, active_play in front.viewers.successors.items()
+            for old, active_play in front.viewers.continuations.items()
             if active_play.stored_answer is not None
             and active_play.stored_answer[0] == 200
             and active_play.playing_number is not None
@@ -228,7 +235,7 @@
             self.look()
         elif kind == "list":
             lists = unpack(Lists, facts[0])
-            self.front.follower.take(
+            self.front.follower.apply_listing(
                 forms.Listing("changes", lists.version, 0, lists.rows, lists.titles), "changes"
             )
         elif kind == "sure" and isinstance(self.driver.play_store.store, Forward):
@@ -257,7 +264,7 @@
         """Leave once nothing is owed, nothing out, and no connection is left."""
         if self.over:
             return
-        front, before = self.front, self.front.coming
+        front, before = self.front, self.front.predecessor
         owed = self.driver.plays or self.driver.moves.retrying or front.server.connections
         # Danger: a chain of hand-overs. What this front's own predecessor still sends comes through here.
         owed = owed or before is not None and not before.channel.closed
@@ -280,9 +287,9 @@
         self.driver.play_store.store.close()
         self.front.open_store()
         self.front.nodes.leaving = False
-        self.front.follower.come_back()
+        self.front.follower.resume_following()
         for node in self.front.nodes.nodes.values():
-            self.front.nodes.follow(node)
+            self.front.nodes.open_stream(node)
         self.front.open_peers()
         self.front.server.accept()
         self.back()
@@ -353,18 +360,18 @@
         told of the nodes at the times at which its predecessor was.
         """
         self.front, driver = front, front.driver
-        front.follower.tell = self.tell_list
+        front.follower.on_listing = self.tell_list
         now, unix = driver.clock.now(), int(time.time() * 1000)
         follower = front.follower
-        follower.drained = set(self.drained)
+        follower.drained_nodes = set(self.drained)
         follower.rows = {row.node: row for row in self.rows}
         follower.titles = {title.title: title for title in self.titles}
         front.viewers.titles, follower.version = follower.titles, self.version
-        follower.asks.life = self.life
-        shown = [follower.shown(row) for row in self.rows]
+        follower.subscription.life = self.life
+        shown = [follower.with_local_drain(row) for row in self.rows]
         front.nodes.listed([row for row in shown if row.state != "gone"], whole=True)
         for name, node in front.nodes.nodes.items():
-            node.since, node.handed = min(now, self.since.get(name, now)), True
+            node.last_seen_at, node.from_predecessor = min(now, self.since.get(name, now)), True
         told = [(min(now, self.since.get(row.node, now)), 0, row) for row in shown]
         told += [(min(now, at), 1, (name, kind, value)) for at, name, kind, value in self.reports]
         for at, what, fact in sorted(told, key=lambda row: row[:2]):
@@ -395,7 +402,7 @@
             if active_play is not None:
                 # kept for its viewer
                 front.viewers.play(active_play, active_play.playing_number + active_play.number_offset)
-                front.viewers.successors[old] = active_play
+                front.viewers.continuations[old] = active_play
 
     def serving(self) -> None:
         self.channel.send("serving")
@@ -439,7 +446,7 @@
             return
         active_play = ActivePlay(ply.facts, title, None, ply.limit, ply.taken)
         self.expected[ply.moved_from] = active_play
-        viewers.successors[ply.moved_from] = active_play
+        viewers.continuations[ply.moved_from] = active_play
         span = max(0, ply.limit - driver.clock.now()) / SECOND + 0.02
         active_play.deadline_timer = self.front.timers.after(span, self.heard_lost, "", ply.moved_from)
 
@@ -451,7 +458,7 @@
         flight = driver.plays_at_predecessor.pop(play, None)
         waiting = self.settled(ply.moved_from)
         if play in driver.plays:  # its node told of it first
-            self.front.viewers.found.pop((ply.facts.viewer, ply.facts.title, ply.facts.product), None)
+            self.front.viewers.resumed_plays.pop((ply.facts.viewer, ply.facts.title, ply.facts.product), None)
             active_play = driver.plays[play]
         else:
             if flight is not None and flight.latest_node != ply.node:
@@ -472,7 +479,7 @@
             active_play.exchange.gone = None
         viewers.play(active_play, active_play.playing_number + active_play.number_offset)
         if active_play.stored_answer is not None and ply.moved_from:
-            viewers.successors[ply.moved_from] = active_play
+            viewers.continuations[ply.moved_from] = active_play
 
     def heard_lost(self, play: str, moved_from: str) -> None:
         driver = self.front.driver
@@ -485,7 +492,7 @@
         if waiting is not None and waiting.exchange is not None:
             self.front.viewers.decline(waiting, 0)
         elif moved_from:
-            self.front.viewers.successors.pop(moved_from, None)
+            self.front.viewers.continuations.pop(moved_from, None)
 
     def settled(self, moved_from: str) -> ActivePlay | None:
         active_play = self.expected.pop(moved_from, None)
--- a/curlewhall/daemon/worker.py
+++ b/curlewhall/daemon/worker.py
@@ -16,7 +16,7 @@
 from curlewhall import logs
 from curlewhall.errors import describe
 from curlewhall.front.collector import tune_garbage_collector
-from curlewhall.front.serve import FrontProcess, policy, raise_descriptors
+from curlewhall.front.serve import FrontProcess, load_class, raise_descriptor_limit
 from curlewhall.recovery.form import NewerFormatError
 from curlewhall.recovery.store import StoreLockedError
 from curlewhall.settings import SettingsError, front_pb2, load
@@ -94,7 +94,7 @@
             return
         if self.workers > 1:
             self.front.server.route = self.route
-            self.front.follower.spread = lambda *facts: self.daemon.send("spread", *facts)
+            self.front.follower.broadcast = lambda *facts: self.daemon.send("spread", *facts)
         if coming is not None:
             coming.serving()
         await self.front.ready.wait()
@@ -123,7 +123,7 @@
     def told_drain(self, node: str, back: bool) -> None:
         """Another worker was told by an operator."""
         if self.front is not None:
-            self.front.follower.drain(node, back, spread=False)
+            self.front.follower.drain_node(node, back, broadcast=False)
 
     def told_confirm(self, digest: str) -> None:
         if self.front is not None and self.front.follower.watcher is not None:
@@ -182,7 +182,7 @@
 
     def told_hurry(self) -> None:
         if self.front is not None:
-            self.front.hurry()
+            self.front.hurry_stop()
 
     def told_ping(self, number: int) -> None:
         self.daemon.send("pong", number)
@@ -206,9 +206,15 @@
     except (SettingsError, OSError) as err:
         print(err, file=sys.stderr)
         return 2
-    log = logs.make(front_pb2.LogForm.Name(file.logs.form).lower(), file.logs.level or "info")
+    log = logs.make_logger(front_pb2.LogForm.Name(file.logs.form).lower(), file.logs.level or "info")
     worker = Worker(
-        daemon, slot, workers, file, log, policy(make) if make else None, policy(mover) if mover else None
+        daemon,
+        slot,
+        workers,
+        file,
+        log,
+        load_class(make) if make else None,
+        load_class(mover) if mover else None,
     )
     try:
         await worker.over
@@ -219,6 +225,6 @@
 
 
 if __name__ == "__main__":
-    raise_descriptors()
+    raise_descriptor_limit()
     daemon, path, slot, workers, *named = sys.argv[1:]
     sys.exit(uvloop.run(main(int(daemon), path, int(slot), int(workers), *named)))
--- a/curlewhall/front/__init__.py
+++ b/curlewhall/front/__init__.py
@@ -1,6 +1,6 @@
-"""The running front: it tells the module all that happens on its sockets and carries out all that it answers.
+"""The front process: reports events on its sockets to the decision module and executes the module's actions.
 
-`driver` owns the module and the plays, `viewers`, `nodes`, `listing` and `peers` one side each, `serve` puts
-them together. Nothing here decides where, at which rung or whether a play is set up: `curlewhall.policy`
-does.
+`driver` owns the module and the plays; `viewers`, `nodes`, `listing` and `peers` handle one kind of
+connection each; `serve` assembles them. Whether, where and at which rung a play is set up is decided in
+`curlewhall.policy`, not here.
 """
--- a/curlewhall/front/collector.py
+++ b/curlewhall/front/collector.py
@@ -1,14 +1,14 @@
-"""The collector of a process that lives long; both front ends use it, so it loads nothing of either."""
+"""Garbage collector settings for long-running processes; imports nothing, since both front ends use it."""
 
 import gc
 
 
-def tune_garbage_collector(first: int = 20_000, third: int = 50) -> None:
-    """What lives as long as the process is not looked through again and again.
+def tune_garbage_collector(young_threshold: int = 20_000, old_threshold: int = 50) -> None:
+    """Freeze the objects created so far and make collections rare.
 
-    Danger: with 10,000 plays held the collector's full rounds stop the loop for tens of milliseconds. Plays
-    and their parts are freed by reference counts; cycles are few, so rounds can be rare.
+    With 10,000 plays, a full collection stops the event loop for tens of milliseconds. Plays and their
+    parts are freed by reference counting and there are few cycles, so collections can be rare.
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(first, 20, third)
+    gc.set_threshold(young_threshold, 20, old_threshold)
--- a/curlewhall/front/driver.py
+++ b/curlewhall/front/driver.py
@@ -1,8 +1,10 @@
-"""The driver of the module: one call for each thing that happens, in order; every answer carried out.
+"""Drives the decision module: calls it for each event and executes the actions that it returns.
 
-A play is known here from its request until its last allocation has ended. What the module is told passes
-one queue (`dispatch`), so that a call that follows from carrying out an answer waits until that answer's
-list is done.
+The HTTP front end (`serve`) and the relay report events here and provide the viewers', nodes' and peers'
+sides that the actions are executed on. A play is tracked from its request until its last allocation has
+ended. All calls to the module pass through one queue (`dispatch`): a call caused by executing an action
+waits until the remaining actions of the same list have been executed. Times are in ticks of 0.1 ms unless a
+name says otherwise.
 """
 
 import time
@@ -14,30 +16,32 @@
 from curlewhall.recovery.null_objects import NoPlayStore
 from curlewhall.sites.null_objects import NoSites
 
-if TYPE_CHECKING:  # a front end that speaks no HTTP loads none of it
+if TYPE_CHECKING:  # the relay speaks no HTTP and doesn't load these modules
     from curlewhall.wire.forms import PlayInfo, Title
     from curlewhall.wire.server import Exchange
 
 TICKS_PER_SECOND = 10_000
-MAX_NODE_STARTS = (
-    10_000  # nodes whose starts are kept: many times a fleet, machines are replaced under new names
-)
-PROVEN_NOT_RUN = ("full", "unreached", "not_sent")  # endings after which nothing can have run
+# Nodes whose start times are remembered: many times a fleet, since machines are replaced under new names.
+MAX_NODE_STARTS = 10_000
+OUTCOMES_WITHOUT_EFFECT = ("full", "unreached", "not_sent")  # after these no set-up can have run at the node
+DEADLINE_GRACE_S = 0.02  # the driver's own deadline fires this much after the module's
 
 
 class Clock:
-    """Whole tenths of a millisecond that never go back, whatever the machine's clock does."""
+    """Monotonic clock in ticks of 0.1 ms; a time source that steps back repeats the last value."""
 
     def __init__(self, source: Callable[[], float] = time.monotonic) -> None:
-        self.source, self.last = source, 0
+        self.source = source  # seconds
+        self.last = 0
 
     def now(self) -> int:
+        """Return the present time in ticks."""
         self.last = max(self.last, int(self.source() * TICKS_PER_SECOND))
         return self.last
 
 
 class ActivePlay:
-    """A play: its request, its allocations by number, and what is in force."""
+    """A play's request, its allocations by number, its node and its rung."""
 
     __slots__ = (
         "info",
@@ -64,44 +68,45 @@
     def __init__(
         self, info: "PlayInfo", title: "Title", exchange: "Exchange | None", deadline: int, received_at: int
     ) -> None:
-        self.info, self.title, self.exchange, self.deadline, self.received_at = (
-            info,
-            title,
-            exchange,
-            deadline,
-            received_at,
-        )
-        self.rung, self.last_number, self.number_offset, self.node = info.rung, -1, 0, ""
-        self.pending: dict[int, Any] = {}  # allocations that are out and don't play yet
+        self.info = info
+        self.title = title
+        self.exchange = exchange
+        self.deadline = deadline
+        self.received_at = received_at
+        self.rung = info.rung
+        self.last_number = -1
+        self.number_offset = 0  # added to the module's allocation number to get the node's
+        self.node = ""
+        self.pending: dict[int, Any] = {}  # allocations in progress, by number
         self.playing_number: int | None = None
         self.answered = self.closed = False
-        # what the node told of an allocation before its set-up's answer was read
+        # Events of a pending allocation that arrived before the response to its set-up was read.
         self.early_events: list = []
         self.deadline_timer = None
-        self.moved_from = ""  # the play that this one goes on with, on another node
+        self.moved_from = ""  # id of the play that this one continues on another node
         self.latest_node = ""  # the node of its latest allocation
-        self.stored_answer: tuple | None = None  # an answer whose viewer has yet to come for it
-        self.playing_since = 0  # when this front heard that it plays
+        self.stored_answer: tuple | None = None  # an answer that its viewer has not fetched yet
+        self.playing_since = 0  # when this front learned that it plays
 
 
 class PendingAllocation:
-    """An allocation that has yet to go out: it may have to be on disk first."""
+    """An allocation that has not been sent to its node yet: it may have to be written to disk first."""
 
-    def __init__(self, driver: "Driver", active_play: ActivePlay, number: int, node: str, until: int) -> None:
-        self.driver, self.active_play, self.number, self.node, self.until = (
-            driver,
-            active_play,
-            number,
-            node,
-            until,
-        )
+    def __init__(
+        self, driver: "Driver", active_play: ActivePlay, number: int, node: str, deadline: int
+    ) -> None:
+        self.driver = driver
+        self.active_play = active_play
+        self.number = number
+        self.node = node
+        self.deadline = deadline
         self.node_row_when_chosen = driver.known_nodes.get(node)
 
-    def send(self, sure: bool) -> None:
-        """Send it, unless it was withdrawn meanwhile, or is not surely kept.
+    def send(self, recorded: bool) -> None:
+        """Send the set-up to the node, unless it was withdrawn or `recorded` is false (not safely stored).
 
-        Danger: the disk, or a busy core, takes its time. A viewer who has hung up by now wants nothing more,
-        and a node that drains or has started anew since is not the one that was chosen.
+        The write to disk, or a busy core, may delay this call. By now the viewer may have hung up, and the
+        node may be draining or have restarted since it was chosen; no set-up is sent in these cases.
         """
         active_play, driver = self.active_play, self.driver
         if active_play.pending.get(self.number) is not self:
@@ -109,31 +114,32 @@
         if active_play.exchange is not None and active_play.exchange.hung_up():
             driver.viewer_left(active_play)
             return
-        span, same = (
-            self.until - driver.clock.now(),
-            driver.known_nodes.get(self.node) == self.node_row_when_chosen,
-        )
-        going = (
-            driver.nodes.set_up(active_play, self.number, self.node, span / TICKS_PER_SECOND)
-            if sure and same and span > 0
+        remaining = self.deadline - driver.clock.now()
+        node_unchanged = driver.known_nodes.get(self.node) == self.node_row_when_chosen
+        request = (
+            driver.nodes.set_up(active_play, self.number, self.node, remaining / TICKS_PER_SECOND)
+            if recorded and node_unchanged and remaining > 0
             else None
         )
-        if going is None:
+        if request is None:
             self.withdraw()
         else:
-            active_play.pending[self.number] = going
+            active_play.pending[self.number] = request
 
     def withdraw(self) -> None:
-        """Nothing went out."""
+        """End the allocation as never sent."""
         self.driver.allocation_ended(self.active_play, self.number, self.node, "not_sent", 0.0, {})
 
 
 class Driver:
-    """Owns one instance of the module. `viewers`, `nodes` and `peers` are set before the first call."""
+    """Owns one instance of the module; `viewers`, `nodes`, `peers` and `moves` are set before the first call.
+
+    `started_at`: the tick that the module is created with, when it takes over from a predecessor.
+    """
 
     def __init__(
         self,
-        make: Callable,
+        create_module: Callable,
         seed: int,
         start_settings: dict,
         timers,
@@ -141,18 +147,21 @@
         clock: Clock | None = None,
         started_at: int | None = None,
     ) -> None:
-        self.clock, self.timers, self.log, self.start_settings = clock or Clock(), timers, log, start_settings
+        self.clock = clock or Clock()
+        self.timers = timers
+        self.log = log
+        self.start_settings = start_settings
         self.queued_calls: deque = deque()
         self.busy = False
         self.plays: dict[str, ActivePlay] = {}
-        self.known_nodes: dict[str, tuple[str, int]] = {}  # node -> its state and latest start, as last told
-        self.node_starts: dict[str, tuple[int, int]] = {}  # node -> its start: Unix ms, module's time
+        self.known_nodes: dict[str, tuple[str, int]] = {}  # node -> state and start of the latest list row
+        self.node_starts: dict[str, tuple[int, int]] = {}  # node -> its start as (Unix ms, ticks)
         self.viewers = self.nodes = self.peers = self.moves = None
-        self.play_store, self.sites = NoPlayStore(), NoSites()
-        self.successor = None  # once this front hands over: what goes on elsewhere is told to it
-        self.plays_at_predecessor: dict[
-            str, ActivePlay
-        ] = {}  # plays that this front's predecessor is still setting up
+        self.play_store = NoPlayStore()
+        self.sites = NoSites()
+        self.successor = None  # during a hand-over: the process that is notified of plays it continues
+        # Plays that this front's predecessor is still setting up.
+        self.plays_at_predecessor: dict[str, ActivePlay] = {}
         self.counts = dict.fromkeys(
             (
                 "asked",
@@ -172,7 +181,9 @@
         self.has_side_effects = {
             p["name"]: p["idempotency"] != "pure" for p in start_settings.get("products", ())
         }
-        self.module = make(self.clock.now() if started_at is None else started_at, seed, start_settings)
+        self.module = create_module(
+            self.clock.now() if started_at is None else started_at, seed, start_settings
+        )
         self.action_handlers = {
             "allocate": self.allocate,
             "rung": self.set_rung,
@@ -186,40 +197,41 @@
             "log": self.log_module_line,
         }
 
-    # ---- what happens
+    # ---- events
 
-    def dispatch(self, name: str, *facts, **named) -> None:
-        """Call the module's `name`; its answers are carried out before the next call is made."""
-        self.dispatch_at(None, name, *facts, **named)
+    def dispatch(self, name: str, *args, **kwargs) -> None:
+        """Call the module's method `name`; its actions are executed before the next queued call."""
+        self.dispatch_at(None, name, *args, **kwargs)
 
-    def dispatch_at(self, then: int | None, name: str, *facts, **named) -> None:
-        """The same for what happened `then`, before this process began; None: now."""
-        self.queued_calls.append((then, name, facts, named))
+    def dispatch_at(self, happened_at: int | None, name: str, *args, **kwargs) -> None:
+        """Like `dispatch`, for an event at tick `happened_at`, perhaps before this process; None: now."""
+        self.queued_calls.append((happened_at, name, args, kwargs))
         if self.busy:
             return
         self.busy = True
         try:
             while self.queued_calls:
-                then, name, facts, named = self.queued_calls.popleft()
+                happened_at, name, args, kwargs = self.queued_calls.popleft()
                 try:
-                    now = self.clock.now() if then is None else then
-                    answers = getattr(self.module, name)(now, *facts, **named)
+                    now = self.clock.now() if happened_at is None else happened_at
+                    actions = getattr(self.module, name)(now, *args, **kwargs)
                 except Exception:
-                    # Danger: one bad call must not cost the other plays; the guard answers for this one.
+                    # A failing call must not affect other plays; `deadline_passed` answers this one.
                     self.counts["faults"] += 1
-                    self.log.exception("the module failed", call=name)
+                    self.log.exception("module call raised an exception", call=name)
                     continue
-                for answer in answers:
+                for action in actions:
                     try:
-                        self.action_handlers[answer[0]](*answer[1:])
+                        self.action_handlers[action[0]](*action[1:])
                     except Exception:
-                        # Danger: a play's answer lost since another's could not be carried out before it.
+                        # A failing action must not drop the actions after it, which may be for other plays.
                         self.counts["faults"] += 1
-                        self.log.exception("an answer can't be carried out", verb=answer[0])
+                        self.log.exception("action raised an exception", verb=action[0])
         finally:
             self.busy = False
 
     def update_nodes(self, how: str, rows: list[NodeRow]) -> None:
+        """Report rows of the node list to the module; `how` as in the module's `listed`."""
         if how in ("whole", "old_copy"):
             self.known_nodes.clear()
         for row in rows:
@@ -229,10 +241,11 @@
         self.dispatch("listed", how, rows)
 
     def node_start_time(self, node: str, unix_ms: int) -> int:
-        """A node's start on the module's clock, 1 at least; 0: long past.
+        """Convert a node's start from Unix milliseconds to ticks, at least 1; 0 means long ago.
 
-        Danger: reckoned anew for each list it would jitter with both clocks, and a start told twice would
-        look like a restart, whose node is paced as cold once more.
+        Each start is converted once and remembered: converting it again for every list would give values that
+        differ by the jitter of both clocks, and the module would take the node for restarted and pace it as
+        cold again.
         """
         if unix_ms <= 0:
             return 0
@@ -244,84 +257,86 @@
         return self.node_starts[node][1]
 
     def accept_request(self, active_play: ActivePlay, again: bool, moved: bool) -> None:
-        """A viewer's request was taken; from here on it gets exactly one answer."""
-        facts = active_play.info
-        self.plays[facts.play] = active_play
+        """Start a play for a viewer's request; from here on it gets exactly one answer."""
+        info = active_play.info
+        self.plays[info.play] = active_play
         self.counts["asked"] += 1
         self.play_store.request_accepted()
         active_play.deadline_timer = self.timers.after(
-            max(0, active_play.deadline - self.clock.now()) / TICKS_PER_SECOND + 0.02,
+            max(0, active_play.deadline - self.clock.now()) / TICKS_PER_SECOND + DEADLINE_GRACE_S,
             self.deadline_passed,
             active_play,
         )
         self.dispatch(
             "asked",
-            facts.play,
-            facts.product,
-            facts.customer,
-            facts.viewer,
-            facts.title,
+            info.play,
+            info.product,
+            info.customer,
+            info.viewer,
+            info.title,
             active_play.deadline,
             active_play.title.first_place,
             active_play.title.places,
-            facts.top,
+            info.top,
             None,
             moved,
             again,
         )
 
-    def resume_play(self, facts: "PlayInfo", title: "Title", node: str) -> None:
-        """A play of an earlier process of this front, found at its node."""
+    def resume_play(self, info: "PlayInfo", title: "Title", node: str) -> None:
+        """Take over a play of an earlier process of this front that its node still holds."""
         now = self.clock.now()
-        active_play = ActivePlay(facts, title, None, now, now)
-        ran = 10 * self.play_store.min_uptime_ms(facts.play, facts.number)
-        self.log.info("resumed", play=facts.play, node=node, rung=facts.rung, ran_ms=ran / 10)
+        active_play = ActivePlay(info, title, None, now, now)
+        ran = 10 * self.play_store.min_uptime_ms(info.play, info.number)
+        self.log.info("play resumed", play=info.play, node=node, rung=info.rung, ran_ms=ran / 10)
         self.register_existing_play(active_play, node, now - ran)
         self.adopt_play(active_play, node)
 
-    def register_existing_play(self, active_play: ActivePlay, node: str, then: int | None = None) -> None:
-        """Tell the module of a play that it did not place; it takes its seat from now on. `then`: when it is
-        known to have been there already; None: now.
+    def register_existing_play(
+        self, active_play: ActivePlay, node: str, happened_at: int | None = None
+    ) -> None:
+        """Tell the module of a play that it did not place, so that the play's seat is counted.
+
+        `happened_at`: a tick at which the play is known to have been at the node; None: now.
         """
-        facts, title = active_play.info, active_play.title
+        info, title = active_play.info, active_play.title
         self.dispatch_at(
-            then,
+            happened_at,
             "resumed",
-            facts.play,
-            facts.product,
-            facts.customer,
-            facts.viewer,
-            facts.title,
+            info.play,
+            info.product,
+            info.customer,
+            info.viewer,
+            info.title,
             title.first_place,
             title.places,
-            facts.top,
+            info.top,
             None,
             node,
         )
 
     def adopt_play(self, active_play: ActivePlay, node: str) -> None:
-        """A play that the module was told of by `register_existing_play` is this front's."""
-        facts = active_play.info
-        (
-            active_play.answered,
-            active_play.last_number,
-            active_play.playing_number,
-            active_play.number_offset,
-            active_play.node,
-        ) = True, 0, 0, facts.number, node
-        active_play.rung, active_play.playing_since = facts.rung, self.clock.now()
-        self.plays[facts.play] = active_play
+        """Make a play that was passed to `register_existing_play` one of this front's plays."""
+        info = active_play.info
+        active_play.answered = True
+        active_play.last_number = 0
+        active_play.playing_number = 0
+        active_play.number_offset = info.number
+        active_play.node = node
+        active_play.rung = info.rung
+        active_play.playing_since = self.clock.now()
+        self.plays[info.play] = active_play
         self.counts["resumed"] += 1
         self.viewers.resumed(active_play)
-        self.dispatch("note", facts.play, 0, node, "rung", float(facts.rung))
+        self.dispatch("note", info.play, 0, node, "rung", float(info.rung))
         self.moves.play_started(active_play)
 
     def allocation_ended(
-        self, active_play: ActivePlay, number: int, node: str, how: str, took: float, report: dict
+        self, active_play: ActivePlay, number: int, node: str, how: str, elapsed_s: float, report: dict
     ) -> None:
-        """A set-up's exchange is over: `ok` with its first frame, or one of the other endings."""
+        """Handle the end of a set-up exchange: `how` is `ok` (first frame) or one of the other outcomes."""
         active_play.pending.pop(number, None)
-        span = int(took * TICKS_PER_SECOND)
+        span = int(elapsed_s * TICKS_PER_SECOND)
         self.sites.allocation_result(node, how)
         if (
             how == "ok"
@@ -329,12 +344,12 @@
             and active_play.exchange is not None
             and active_play.exchange.hung_up()
         ):
-            # Danger: it would play on at its node for nobody. What is closed is ended there, below.
+            # Without its viewer the play would run on at the node unseen; closed plays are ended there below.
             self.viewer_left(active_play)
         if how != "ok" or active_play.closed:
             if how == "ok":
                 how = "withdrawn"
-            if how not in PROVEN_NOT_RUN:
+            if how not in OUTCOMES_WITHOUT_EFFECT:
                 self.nodes.end(node, active_play.info.play, number + active_play.number_offset, how)
             self.log.info(
                 "allocation ended", play=active_play.info.play, allocation=number, node=node, how=how
@@ -344,16 +359,14 @@
             )
             self.forget_if_over(active_play)
             return
-        active_play.playing_number, active_play.node, active_play.playing_since = (
-            number,
-            node,
-            self.clock.now(),
-        )
+        active_play.playing_number = number
+        active_play.node = node
+        active_play.playing_since = self.clock.now()
         self.play_store.allocation_playing(active_play.info.play, number + active_play.number_offset)
         first = not active_play.answered
         if first:
-            # Danger: while the module reckons, the play may end at its node before its viewer knows of it.
-            # The answer needs nothing that the module says to a first frame, so it leaves before.
+            # Answer the viewer before calling the module: during the call the play could end at its node
+            # before its viewer learns of it, and the answer depends on nothing that the module returns.
             self.record_answer(active_play, "played")
             self.viewers.play(active_play, number + active_play.number_offset)
         self.log.info(
@@ -379,7 +392,7 @@
             self.nodes.event(node, event)
 
     def play_ended(self, play: str, how: str) -> None:
-        """A play under way is over at its node."""
+        """Handle the end of a playing allocation at its node."""
         active_play = self.plays.get(play)
         if active_play is None or active_play.playing_number is None:
             return
@@ -393,6 +406,7 @@
         self.moves.play_ended(play)
 
     def play_noted(self, play: str, node: str, kind: str, value: float) -> None:
+        """Pass a node's measurement about a play to the module, and about its links to moves and sites."""
         active_play = self.plays.get(play)
         if active_play is not None and active_play.playing_number is not None:
             self.dispatch("note", play, active_play.playing_number, node, kind, value)
@@ -401,47 +415,60 @@
                 self.sites.node_reported(node, kind, value)
 
     def viewer_left(self, active_play: ActivePlay) -> None:
-        """The viewer hung up before its answer."""
+        """Close a play whose viewer hung up before its answer, and withdraw its allocations."""
         if active_play.answered:
             return
         active_play.closed = True
         self.record_answer(active_play, "left")
-        self.log.info("left", play=active_play.info.play)
+        self.log.info("viewer left before its answer", play=active_play.info.play)
         self.dispatch("left", active_play.info.play)
-        for ask in list(active_play.pending.values()):
-            ask.withdraw()
+        for allocation in list(active_play.pending.values()):
+            allocation.withdraw()
         self.forget_if_over(active_play)
 
     def deadline_passed(self, active_play: ActivePlay) -> None:
-        """Danger: a module that failed, or a machine too busy to call it in time, must not leave a viewer
-        without an answer. What can't be proved is failed; the module is told that the play is over."""
+        """Answer a play that is still unanswered at its deadline.
+
+        A module that failed, or that a busy machine called too late, must not leave a viewer without an
+        answer. Whether a set-up ran is unknown, so the play is answered as failed; the module is told that
+        it is over.
+        """
         active_play.deadline_timer = None
         if not active_play.answered:
             active_play.closed = True
             self.counts["guarded"] += 1
-            self.log.warning("answered by the guard", play=active_play.info.play)
+            self.log.warning(
+                "play unanswered at its deadline; answered as failed", play=active_play.info.play
+            )
             self.record_answer(active_play, "failed")
-            self.viewers.fail(active_play, "The time limit is over")
+            self.viewers.fail(active_play, "The time limit has passed")
             self.dispatch("left", active_play.info.play)
-            for ask in list(active_play.pending.values()):
-                ask.withdraw()
+            for allocation in list(active_play.pending.values()):
+                allocation.withdraw()
             self.forget_if_over(active_play)
 
-    # ---- what the module answers
+    # ---- actions of the module
 
     def allocate(self, play: str, node: str, span: int) -> None:
+        """Start the play's next allocation at `node`, which has `span` ticks to deliver the first frame."""
         active_play = self.plays.get(play)
         if active_play is None:
-            self.log.error("an allocation for a play not held", play=play, node=node)
+            self.log.error("allocation for an unknown play", play=play, node=node)
             return
         active_play.last_number += 1
-        number, active_play.latest_node = active_play.last_number, node
+        number = active_play.last_number
+        active_play.latest_node = node
         self.counts["allocations"] += 1
         self.log.info(
-            "allocate", play=play, allocation=number, node=node, rung=active_play.rung, span_ms=span / 10
+            "allocation started",
+            play=play,
+            allocation=number,
+            node=node,
+            rung=active_play.rung,
+            span_ms=span / 10,
         )
         if number and not self.play_store.may_reallocate():
-            self.log.info("the budget of the process before is spent", play=play)
+            self.log.info("reallocation budget carried over from the previous process is used up", play=play)
             self.dispatch("ended", play, number, node, "not_sent", active_play.answered, 0, {})
             return
         pending = PendingAllocation(self, active_play, number, node, self.clock.now() + span)
@@ -451,6 +478,7 @@
             pending.send(True)
 
     def set_rung(self, play: str, rung: int) -> None:
+        """Set the play's rung, at its node too if it plays."""
         active_play = self.plays.get(play)
         if active_play is not None:
             active_play.rung = rung
@@ -459,7 +487,8 @@
                     active_play.node, play, active_play.playing_number + active_play.number_offset, rung
                 )
 
-    def decline(self, play: str, away: int) -> None:
+    def decline(self, play: str, retry_after: int) -> None:
+        """Decline the play; its viewer may ask again after `retry_after` ticks."""
         active_play = self.plays.get(play)
         if active_play is not None and not active_play.answered:
             if active_play.moved_from and self.moves.move_declined(active_play):
@@ -467,25 +496,28 @@
                 return
             self.record_answer(active_play, "declined")
             self.sites.play_declined(active_play.info.product)
-            self.log.info("declined", play=play, away_ms=away / 10)
-            self.viewers.decline(active_play, away)
+            self.log.info("play declined", play=play, away_ms=retry_after / 10)
+            self.viewers.decline(active_play, retry_after)
             self.forget_if_over(active_play)
 
     def fail(self, play: str) -> None:
+        """Answer the play as failed: an allocation may have run."""
         active_play = self.plays.get(play)
         if active_play is not None and not active_play.answered:
             self.record_answer(active_play, "failed")
-            self.log.info("failed", play=play)
-            self.viewers.fail(active_play, "No node answered in time, or an answer was lost")
+            self.log.info("play failed", play=play)
+            self.viewers.fail(active_play, "No node answered in time, or a node's answer was lost")
             self.forget_if_over(active_play)
 
     def withdraw(self, play: str, number: int) -> None:
+        """Withdraw a pending allocation."""
         active_play = self.plays.get(play)
-        ask = active_play and active_play.pending.get(number)
-        if ask:
-            ask.withdraw()
+        allocation = active_play and active_play.pending.get(number)
+        if allocation:
+            allocation.withdraw()
 
     def move(self, play: str) -> None:
+        """End the play at its node; its viewer may ask for it again."""
         active_play = self.plays.get(play)
         if active_play is not None and active_play.playing_number is not None:
             self.nodes.end(
@@ -495,21 +527,25 @@
             self.play_ended(play, "withdrawn")
 
     def probe(self, node: str) -> None:
+        """Ask a node for its load."""
         self.nodes.probe(node)
 
     def tell(self, peer: int | None, body: bytes) -> None:
+        """Send a message to one peer, or to all (None)."""
         self.peers.send(peer, body)
 
     def wake(self, span: int, label: int) -> None:
+        """Call the module's `wake` with `label` after `span` ticks."""
         self.timers.after(span / TICKS_PER_SECOND, self.dispatch, "wake", label)
 
     def log_module_line(self, text: str) -> None:
-        self.log.info("module", text=text)
+        """Write a line of the module to the log."""
+        self.log.info("message of the module", text=text)
 
     # ---- helpers
 
     def record_answer(self, active_play: ActivePlay, what: str) -> None:
-        """The play has its answer, or needs none any more."""
+        """Mark the play as answered, or as needing no answer any more; `what` is a key of `counts`."""
         active_play.answered = True
         self.counts[what] += 1
         if self.successor is not None and what != "played":
@@ -521,7 +557,7 @@
             active_play.deadline_timer = None
 
     def discard_declined_move(self, active_play: ActivePlay) -> None:
-        """A try of a move that was declined, nothing of it ever out: the next try owes the answer."""
+        """Forget a declined attempt of a move that sent no allocation; the next attempt gives the answer."""
         active_play.answered = True
         if active_play.deadline_timer is not None:
             active_play.deadline_timer.cancel()
@@ -529,6 +565,7 @@
         self.plays.pop(active_play.info.play, None)
 
     def forget_if_over(self, active_play: ActivePlay) -> None:
+        """Drop a play that is answered, has no pending allocation and does not play."""
         if active_play.answered and not active_play.pending and active_play.playing_number is None:
             self.plays.pop(active_play.info.play, None)
             self.play_store.play_ended(active_play.info.play)
--- a/curlewhall/front/listing.py
+++ b/curlewhall/front/listing.py
@@ -1,4 +1,8 @@
-"""Follows the list service: whole lists, changes, gaps and failures; keeps the last whole list on disk."""
+"""Follows the list service: whole lists, changes, gaps and failures; keeps the last list on disk.
+
+`ListFollower` passes the list on to the driver's module, the nodes' side, moves and sites. Retry delays and
+how far an old list is trusted are decided in `curlewhall.start`.
+"""
 
 import asyncio
 import os
@@ -17,16 +21,17 @@
 
 from . import lists
 from .driver import Driver
-from .lists import stamp
+from .lists import current_stamp
 from .nodes import module_row
 
-SILENT = 5.0  # seconds without a line, ticks included, after which a stream is taken for dead
-STATES = ("serving", "draining", "gone")
-KEEP_EVERY = 60.0  # seconds after which a list that is confirmed again and again is written again
+SILENCE_TIMEOUT_S = 5.0  # a stream without a line, ticks included, for this long is taken for dead
+NODE_STATES = ("serving", "draining", "gone")
+KEPT_LIST_REFRESH_S = 60.0  # an unchanged list is written again this often, for its time of confirmation
+STREAM_TIMEOUT_S = 86_400.0  # the stream stays open; the HTTP client requires a limit
 
 
-def changed(old: dict[str, forms.Row], rows: list[forms.Row], whole: bool) -> int:
-    """How many lines of what was had stopped being true: gone, started anew, or at another address."""
+def count_changes(old: dict[str, forms.Row], rows: list[forms.Row], whole: bool) -> int:
+    """Count the rows of `old` that `rows` invalidates: node gone, restarted, or at another address."""
     now = {row.node: row for row in rows}
     return sum(
         new.state == "gone"
@@ -37,308 +42,373 @@
     )
 
 
-def put(path: str, data: bytes) -> None:
-    """Write beside the old file and put it in its place: never half a list on disk."""
+def replace_file(path: str, data: bytes) -> None:
+    """Write a new file and rename it over the old one, so that the file on disk is always complete."""
     Path(path + ".new").write_bytes(data)
     os.replace(path + ".new", path)
 
 
-class Follower:
-    """One subscription, asked for again with growing pauses while it can't be had (`start.decide`)."""
+class ListFollower:
+    """One subscription to the list service, retried with growing delays while it fails (`start.decide`).
+
+    `pool`: connections to the list service; None where the inventory file is the only source. `kept_file`:
+    where the list is saved ("": nowhere). `has_peers`: whether other fronts may be asked for their list.
+    """
 
     def __init__(
         self,
         driver: Driver,
         pool: Pool | None,
         front: str,
-        kept: str = "",
+        kept_file: str = "",
         seed: int = 0,
-        helped: bool = False,
+        has_peers: bool = False,
     ) -> None:
-        self.driver, self.pool, self.front, self.kept = driver, pool, front, kept
+        self.driver = driver
+        self.pool = pool
+        self.front = front
+        self.kept_file = kept_file
         self.rows: dict[str, forms.Row] = {}
         self.titles: dict[str, forms.Title] = {}
-        self.asks = Asks(seed, driver.start_settings.get("fronts", 1), helped)
-        self.lines, self.stream, self.silence, self.failing = forms.Lines(), None, None, False
-        self.spoken, self.watcher = False, None  # whether the service has; the operators' files
-        self.leaving = False  # the successor follows; what it hears is told to this front
-        self.tell: Callable[[forms.Listing], None] | None = None  # a predecessor that hears through this one
-        self.spread: Callable | None = None  # tells the other workers what an operator told this one
-        self.turn = None  # when it is asked next
-        self.keeping, self.unkept = None, False  # a write under way; whether more is known than it holds
-        self.written_at = 0.0
-        self.borrower = lists.NoBorrower()
-        self.began, self.outcome = time.monotonic(), pool is None  # whether the service's first word is known
+        self.subscription = Asks(seed, driver.start_settings.get("fronts", 1), has_peers)
+        self.line_parser = forms.Lines()
+        self.stream = None
+        self.silence_timer = None
+        self.service_failing = False
+        self.service_heard = False  # whether the list service has sent a list to this process
+        self.watcher = None  # watches the inventory files
+        self.leaving = False  # handed over: the successor follows the list and passes it on to this front
+        # Passes each listing on to a predecessor that is still finishing.
+        self.on_listing: Callable[[forms.Listing], None] | None = None
+        self.broadcast: Callable | None = None  # passes an operator's command on to the other workers
+        self.retry_timer = None
+        self.write_task = None
+        self.write_pending = False  # whether there is something newer to write than the write in progress
+        self.written_at = 0.0  # seconds, monotonic
+        self.peer_list_client = lists.NoPeerListClient()
+        self.started_at = time.monotonic()
+        # Whether the first request to the list service has succeeded or failed.
+        self.first_result_known = pool is None
         self.on_ready: Callable[[], None] | None = None
-        self.drained: set[str] = set()  # by this front's operator, whatever the list says
-        self.belief, self.churn = Belief(), Churn()
-        self.stamp, self.stamped = Stamp(0, "", 0.0), 0.0  # when the list was last confirmed; steady seconds
+        self.drained_nodes: set[str] = set()  # drained by an operator at this front, whatever the list says
+        self.belief = Belief()
+        self.churn = Churn()
+        self.confirmed_stamp = Stamp(0, "", 0.0)  # when the list was last confirmed
+        self.confirmed_at = 0.0  # the same in seconds of the monotonic clock
 
     @property
     def version(self) -> int:
-        """The version of the list that this front goes by; 0: none that could be confirmed."""
-        return self.asks.version
+        """The version of the current list; 0: none that the list service could confirm."""
+        return self.subscription.version
 
     @version.setter
     def version(self, version: int) -> None:
-        self.asks.version = version
+        self.subscription.version = version
 
     def start(self) -> None:
-        """Believe the kept list, if there is one, until the service says more; then subscribe."""
-        if self.kept and os.path.exists(self.kept) and not self.rows:
+        """Load the kept list, if there is one, and subscribe to the list service."""
+        if self.kept_file and os.path.exists(self.kept_file) and not self.rows:
             try:
-                self.read(Path(self.kept))
+                self.read_kept_list(Path(self.kept_file))
             except (OSError, forms.DecodeError) as err:
-                self.driver.log.warning("the kept list can't be read", why=describe(err))
-        wait = self.asks.begin(self.asks.life, self.version)
+                self.driver.log.warning("the kept list can't be read; starting without it", why=describe(err))
+        wait = self.subscription.begin(self.subscription.life, self.version)
         if self.watcher is not None:
             self.watcher.start()
         if self.pool is not None:
-            self.turn = self.driver.timers.after(wait, self.subscribe)
-            self.borrower.start()
+            self.retry_timer = self.driver.timers.after(wait, self.subscribe)
+            self.peer_list_client.start()
 
-    def when_ready(self, call: Callable[[], None]) -> None:
-        """Call it once this front can place plays, or decline them with reason."""
-        self.on_ready = call
-        self.driver.timers.after(UNREADY, self.look_ready)
-        self.look_ready()
+    def call_when_ready(self, callback: Callable[[], None]) -> None:
+        """Call `callback` once this front can place plays, or knows that it has to decline them."""
+        self.on_ready = callback
+        self.driver.timers.after(UNREADY, self.check_ready)
+        self.check_ready()
 
     @property
     def ready(self) -> bool:
-        return ready(len(self.sure(self.rows.values())), self.outcome, time.monotonic() - self.began)
+        """Whether viewers may be sent to this front."""
+        return ready(
+            len(self.trusted_rows(self.rows.values())),
+            self.first_result_known,
+            time.monotonic() - self.started_at,
+        )
 
-    def look_ready(self) -> None:
+    def check_ready(self) -> None:
+        """Call the callback of `call_when_ready` once, if this front is ready."""
         if self.on_ready is not None and self.ready:
-            call, self.on_ready = self.on_ready, None
-            call()
+            callback, self.on_ready = self.on_ready, None
+            callback()
 
     @property
-    def astray(self) -> bool:
-        """Whether the list service has left this front without its word."""
-        return self.pool is not None and (self.failing or not self.spoken or self.asks.behind)
+    def needs_list(self) -> bool:
+        """Whether this front lacks a current list because the list service is silent, failing or behind."""
+        return self.pool is not None and (
+            self.service_failing or not self.service_heard or self.subscription.behind
+        )
 
-    def lent(self, listing: forms.Listing, seconds: float) -> None:
-        """Go by a peer's list, confirmed so long ago, if it is better than what is had."""
-        if not lists.taken(self, listing, seconds):
+    def accept_peer_list(self, listing: forms.Listing, seconds: float) -> None:
+        """Apply a peer's list, confirmed `seconds` ago, if it is better than the present one."""
+        if not lists.is_acceptable(self, listing, seconds):
             return
-        now = stamp()
-        self.stamp = Stamp(now.unix_ms - int(1000 * seconds), now.boot, now.steady - seconds)
+        now = current_stamp()
+        self.confirmed_stamp = Stamp(now.unix_ms - int(1000 * seconds), now.boot, now.steady - seconds)
         whole, before = listing.how == "whole", self.belief.unsure
         rows = {row.node for row in (listing.rows if whole else self.rows.values())}
         self.belief.kept(rows, self.churn.trust(seconds))
         if whole:
-            self.asks.lent(listing.life, listing.version)
-            self.take(listing, "old_copy")
+            self.subscription.lent(listing.life, listing.version)
+            self.apply_listing(listing, "old_copy")
         else:
-            self.tell_module([self.rows[name] for name in sorted(before - self.belief.unsure & rows)])
-        self.driver.log.info("list from a peer", version=listing.version, age_s=round(seconds), whole=whole)
-
-    def read(self, path: Path) -> None:
-        """Go by the kept list, as far as its age lets it be believed. `OSError`, `DecodeError`."""
-        old = forms.decode(forms.Listing, path.read_bytes())
-        kept = old.kept or forms.Kept(unix_ms=int(path.stat().st_mtime * 1000))  # an earlier program's
-        self.stamp = Stamp(kept.unix_ms, kept.boot, kept.steady_s)
+            self.update_module([self.rows[name] for name in sorted(before - self.belief.unsure & rows)])
+        self.driver.log.info(
+            "list received from a peer", version=listing.version, age_s=round(seconds), whole=whole
+        )
+
+    def read_kept_list(self, path: Path) -> None:
+        """Apply the kept list, trusted according to its age; raises `OSError` or `DecodeError`."""
+        kept_list = forms.decode(forms.Listing, path.read_bytes())
+        # Lists written by older versions lack the time of confirmation; the file's own time stands for it.
+        kept = kept_list.kept or forms.Kept(unix_ms=int(path.stat().st_mtime * 1000))
+        self.confirmed_stamp = Stamp(kept.unix_ms, kept.boot, kept.steady_s)
         self.churn = Churn(kept.changes, kept.watched_s)
-        seconds = age(self.stamp, stamp())
+        seconds = age(self.confirmed_stamp, current_stamp())
         trust = self.churn.trust(seconds)
-        self.belief.kept({row.node for row in old.rows}, trust)
-        self.take(old, "old_copy")
-        self.asks.life = old.life
-        facts = {
-            "nodes": len(old.rows),
-            "version": old.version,
+        self.belief.kept({row.node for row in kept_list.rows}, trust)
+        self.apply_listing(kept_list, "old_copy")
+        self.subscription.life = kept_list.life
+        fields = {
+            "nodes": len(kept_list.rows),
+            "version": kept_list.version,
             "trust": round(trust, 3),
             "age_s": None if seconds is None else round(seconds),
         }
         if not self.belief.unsure:
-            self.driver.log.info("kept list read", **facts)
+            self.driver.log.info("kept list read", **fields)
         else:
-            how = "too old to be believed" if self.belief.forgotten else "old"
+            how = "too old to be trusted" if self.belief.forgotten else "old"
             self.driver.log.warning(
-                f"the kept list is {how}: nodes get plays once they have answered", **facts
+                f"the kept list is {how}: nodes get plays once they have answered", **fields
             )
 
-    def answered(self, name: str, named: str) -> None:
-        """A node's stream began; whoever answers at its address calls itself `named`."""
-        sure = self.belief.answered(name, named)
-        if sure is not None and name in self.rows:
-            self.tell_module(
-                [self.rows[name] if sure else forms.msgspec.structs.replace(self.rows[name], state="gone")]
+    def node_identified(self, name: str, named: str) -> None:
+        """Handle the hello of the process at node `name`'s address, which calls itself `named`."""
+        trusted = self.belief.answered(name, named)
+        if trusted is not None and name in self.rows:
+            self.update_module(
+                [self.rows[name] if trusted else forms.msgspec.structs.replace(self.rows[name], state="gone")]
             )
 
-    def tell_module(self, rows: list[forms.Row]) -> None:
-        """Tell module and mover of nodes that may get plays now, or not any more; the list is as it was."""
-        now, unix = self.driver.clock.now(), int(time.time() * 1000)
-        self.driver.update_nodes("changes", [self.for_module(self.shown(row)) for row in rows])
-        self.driver.moves.nodes_listed(self.sure(self.rows.values()), now, unix)
-        self.look_ready()
+    def update_module(self, rows: list[forms.Row]) -> None:
+        """Tell the module and moves that these nodes may or may not get plays; the list does not change."""
+        now, unix_ms = self.driver.clock.now(), int(time.time() * 1000)
+        self.driver.update_nodes("changes", [self.to_module_row(self.with_local_drain(row)) for row in rows])
+        self.driver.moves.nodes_listed(self.trusted_rows(self.rows.values()), now, unix_ms)
+        self.check_ready()
 
-    def for_module(self, row: forms.Row):
-        told = module_row(row, self.driver)
-        return told._replace(started=self.driver.sites.effective_start(row, told.started))
+    def to_module_row(self, row: forms.Row):
+        """Convert a row for the module, with the start that `sites` counts for the node."""
+        converted = module_row(row, self.driver)
+        return converted._replace(started=self.driver.sites.effective_start(row, converted.started))
 
     @property
-    def unsure(self) -> set[str]:
-        """Nodes that get no plays, whatever the list says."""
+    def untrusted_nodes(self) -> set[str]:
+        """Nodes that get no plays, whatever the list says: unconfirmed, or at a lost site."""
         return self.belief.unsure | self.driver.sites.hidden_nodes
 
-    def sure(self, rows) -> list[forms.Row]:
-        """Those that may get plays, as they are shown."""
-        return [self.shown(row) for row in rows if row.state != "gone" and row.node not in self.unsure]
+    def trusted_rows(self, rows) -> list[forms.Row]:
+        """Return the rows of nodes that may get plays, with local drains applied."""
+        return [
+            self.with_local_drain(row)
+            for row in rows
+            if row.state != "gone" and row.node not in self.untrusted_nodes
+        ]
 
     def as_inventory(self) -> Inventory | None:
-        """What this front goes by now; None where it knows nothing yet."""
+        """Return the current list as an inventory; None if there is no list yet."""
         rows = {row.node: row for row in self.rows.values() if row.state != "gone"}
         return Inventory(rows, dict(self.titles)) if rows else None
 
-    def from_files(self, rows: list[forms.Row], titles: list[forms.Title]) -> None:
-        """The operators' inventory, whole. Where there is a list service too, its word counts once it speaks:
-        it knows what runs; the files say what should.
+    def apply_inventory(self, rows: list[forms.Row], titles: list[forms.Title]) -> None:
+        """Apply the operators' inventory as a whole list.
+
+        Once the list service has sent a list, the inventory is only compared with it: the service knows which
+        nodes run, the files say which should.
         """
-        if self.spoken:
+        if self.service_heard:
             missing = {row.node for row in rows} ^ {r.node for r in self.rows.values() if r.state != "gone"}
-            self.driver.log.warning("inventory and list service differ", nodes=sorted(missing)[:20])
+            self.driver.log.warning(
+                "inventory and list service disagree about nodes", nodes=sorted(missing)[:20]
+            )
             return
         how = "whole" if self.pool is None else "old_copy"
-        self.take(forms.Listing("whole", self.version + 1 if self.pool is None else 0, 0, rows, titles), how)
+        self.apply_listing(
+            forms.Listing("whole", self.version + 1 if self.pool is None else 0, 0, rows, titles), how
+        )
 
     def subscribe(self) -> None:
-        self.turn = None
+        """Open the stream of lists, from the version that this front has."""
+        self.retry_timer = None
         if self.leaving:
             self.stream = None
             return
-        self.lines = forms.Lines()
-        target = f"/v1/list?front={self.front}&have={self.version}&life={quote(self.asks.life, safe='')}"
+        self.line_parser = forms.Lines()
+        target = (
+            f"/v1/list?front={self.front}&have={self.version}&life={quote(self.subscription.life, safe='')}"
+        )
         self.stream = self.pool.ask(
-            request_bytes("GET", target, self.pool.host), 86_400.0, self.ended, tell=self.told
+            request_bytes("GET", target, self.pool.host),
+            STREAM_TIMEOUT_S,
+            self.stream_ended,
+            tell=self.stream_data_received,
         )
-        self.listen()
+        self.restart_silence_timer()
 
-    def listen(self) -> None:
-        if self.silence is not None:
-            self.silence.cancel()
-        self.silence = self.driver.timers.after(SILENT, self.stream.withdraw)
+    def restart_silence_timer(self) -> None:
+        """Withdraw the stream if it stays silent for `SILENCE_TIMEOUT_S` from now."""
+        if self.silence_timer is not None:
+            self.silence_timer.cancel()
+        self.silence_timer = self.driver.timers.after(SILENCE_TIMEOUT_S, self.stream.withdraw)
 
-    def told(self, message, piece: bytes) -> None:
+    def stream_data_received(self, message, piece: bytes) -> None:
+        """Handle the lines of a piece of the stream; a malformed one closes the stream."""
         if message.status != 200:
             return
-        self.listen()
+        self.restart_silence_timer()
         try:
-            for line in self.lines.feed(piece):
-                self.line(forms.decode(forms.Listing, line))
+            for line in self.line_parser.feed(piece):
+                self.handle_listing(forms.decode(forms.Listing, line))
         except forms.DecodeError as err:
-            self.driver.log.warning("the list is malformed", why=describe(err))
+            self.driver.log.warning(
+                "malformed line from the list service; subscribing again", why=describe(err)
+            )
             self.driver.timers.after(0, self.stream.withdraw)
 
-    def line(self, listing: forms.Listing) -> None:
-        self.failing = False
+    def handle_listing(self, listing: forms.Listing) -> None:
+        """Handle one line of the list service: a whole list, changes or a tick."""
+        self.service_failing = False
         if listing.how == "whole":
-            if self.asks.whole(listing.life, listing.version):
-                self.heard(changed(self.rows, listing.rows, whole=True))
-                self.take(listing, "whole")
+            if self.subscription.whole(listing.life, listing.version):
+                self.list_confirmed(count_changes(self.rows, listing.rows, whole=True))
+                self.apply_listing(listing, "whole")
             else:
                 self.driver.log.warning(
-                    "the list service is behind what this front knows",
-                    have=self.asks.latest,
+                    "the list service sent an older list than this front has; ignored",
+                    have=self.subscription.latest,
                     told=listing.version,
                 )
         elif listing.how != "changes":
-            self.asks.tick()
-            if self.version and not self.asks.behind:
-                self.heard(0)
-                if time.monotonic() - self.written_at > KEEP_EVERY:
-                    self.keep()  # only its stamp is new
-        elif self.asks.follows(listing.life, listing.since, listing.version):
-            freed = self.heard(changed(self.rows, listing.rows, whole=False))
-            self.take(listing, "changes")
-            if freed:
-                self.tell_module([self.rows[name] for name in sorted(freed) if name in self.rows])
-        elif self.asks.missed(listing.life, listing.version):
-            # Danger: a change built on one never seen. A gap is closed by the whole list.
-            self.driver.log.warning("a gap in the list", have=self.version, since=listing.since)
-            self.asks.gap()
+            self.subscription.tick()
+            if self.version and not self.subscription.behind:
+                self.list_confirmed(0)
+                if time.monotonic() - self.written_at > KEPT_LIST_REFRESH_S:
+                    self.save()  # only the time of confirmation is new
+        elif self.subscription.follows(listing.life, listing.since, listing.version):
+            now_trusted = self.list_confirmed(count_changes(self.rows, listing.rows, whole=False))
+            self.apply_listing(listing, "changes")
+            if now_trusted:
+                self.update_module([self.rows[name] for name in sorted(now_trusted) if name in self.rows])
+        elif self.subscription.missed(listing.life, listing.version):
+            # These changes build on a version that was never received: ask for the whole list.
+            self.driver.log.warning(
+                "a gap in the list's versions; asking for the whole list",
+                have=self.version,
+                since=listing.since,
+            )
+            self.subscription.gap()
             self.driver.timers.after(0, self.stream.withdraw)
 
-    def heard(self, changes: int) -> set[str]:
-        """The service has confirmed what this front goes by, but for what it tells next; the nodes that may
-        get plays by that.
+    def list_confirmed(self, changes: int) -> set[str]:
+        """Record that the list service has confirmed the list, apart from `changes` rows.
+
+        Returns the nodes that may get plays because of it.
         """
-        now, spoken, self.spoken, self.outcome = time.monotonic(), self.spoken, True, True
-        self.churn.saw(changes, len(self.rows) * (now - self.stamped) if spoken else 0.0)
-        self.stamped, self.stamp = now, stamp()
+        now = time.monotonic()
+        heard_before = self.service_heard
+        self.service_heard = True
+        self.first_result_known = True
+        self.churn.saw(changes, len(self.rows) * (now - self.confirmed_at) if heard_before else 0.0)
+        self.confirmed_at, self.confirmed_stamp = now, current_stamp()
         return self.belief.spoken()
 
-    def take(self, listing: forms.Listing, how: str) -> None:
-        rows = self.sound(listing.rows)
+    def apply_listing(self, listing: forms.Listing, how: str) -> None:
+        """Apply a listing: `whole` and `old_copy` replace the list, `changes` updates it."""
+        rows = self.valid_rows(listing.rows)
         if how != "changes":
             self.rows, self.titles = {}, {}
         self.rows |= {row.node: row for row in rows}
         self.rows = {name: row for name, row in self.rows.items() if row.state != "gone"}
         self.titles |= {
-            title.title: title for title in listing.titles if not self.refused(title.title, title)
+            title.title: title for title in listing.titles if not self.is_invalid(title.title, title)
         }
         self.version = listing.version
         self.driver.viewers.titles = self.titles
         self.driver.sites.nodes_listed(rows, how != "changes")
-        rows, unsure = [self.shown(row) for row in rows], self.unsure
-        # Danger: of a node that the module may still hold for serving, that it drains or is gone must be told
-        left = [
-            row if row.node not in unsure else forms.msgspec.structs.replace(row, state="gone")
+        rows, untrusted = [self.with_local_drain(row) for row in rows], self.untrusted_nodes
+        # The module may still use an untrusted node, so it must be told that such a node drains or is gone.
+        module_rows = [
+            row if row.node not in untrusted else forms.msgspec.structs.replace(row, state="gone")
             for row in rows
-            if row.node not in unsure or row.state != "serving" and row.node not in self.belief.unsure
+            if row.node not in untrusted or row.state != "serving" and row.node not in self.belief.unsure
         ]
-        now, unix = self.driver.clock.now(), int(time.time() * 1000)
+        now, unix_ms = self.driver.clock.now(), int(time.time() * 1000)
         self.driver.nodes.listed(rows, whole=how != "changes")  # first: the module may allocate at once
-        self.driver.update_nodes(how, [self.for_module(row) for row in left])
-        self.driver.moves.nodes_listed(self.sure(self.rows.values()), now, unix)
-        if self.tell is not None:
-            self.tell(listing)
-        self.driver.log.info("list", how=how, version=listing.version, rows=len(rows))
-        self.look_ready()
+        self.driver.update_nodes(how, [self.to_module_row(row) for row in module_rows])
+        self.driver.moves.nodes_listed(self.trusted_rows(self.rows.values()), now, unix_ms)
+        if self.on_listing is not None:
+            self.on_listing(listing)
+        self.driver.log.info("list applied", how=how, version=listing.version, rows=len(rows))
+        self.check_ready()
         if how != "old_copy":
-            self.keep()
+            self.save()
 
-    def sound(self, rows: list[forms.Row]) -> list[forms.Row]:
-        """What can be right of a list. Of a row that can't, a known node's state still counts (rule 3)."""
-        found = []
+    def valid_rows(self, rows: list[forms.Row]) -> list[forms.Row]:
+        """Return the valid rows; an invalid row of a known node still changes its state (rule 3)."""
+        valid = []
         for row in rows:
-            if row.state in STATES and self.refused(row.node, row):
+            if row.state in NODE_STATES and self.is_invalid(row.node, row):
                 known = self.rows.get(row.node)
                 row = known and forms.msgspec.structs.replace(known, state=row.state)
-            if row is not None and row.state in STATES:
-                found.append(row)
-        return found
+            if row is not None and row.state in NODE_STATES:
+                valid.append(row)
+        return valid
 
-    def refused(self, name: str, thing: forms.Row | forms.Title) -> bool:
-        """Danger: a port or weight that can't be reckoned with fails calls that are about other plays."""
-        why = forms.wrong(thing)
+    def is_invalid(self, name: str, item: forms.Row | forms.Title) -> bool:
+        """Whether a row or title has a value out of range, which would break calls about other plays."""
+        why = forms.wrong(item)
         if why:
-            self.driver.log.warning("a line of the list is refused", name=name, why=why)
+            self.driver.log.warning("invalid row or title in the list; ignored", name=name, why=why)
         return bool(why)
 
-    def shown(self, row: forms.Row) -> forms.Row:
-        """A line with the operator's own drains laid over it."""
-        if row.node in self.drained and row.state == "serving":
+    def with_local_drain(self, row: forms.Row) -> forms.Row:
+        """Return the row, as `draining` if an operator drains the node at this front."""
+        if row.node in self.drained_nodes and row.state == "serving":
             return forms.msgspec.structs.replace(row, state="draining")
         return row
 
-    def drain(self, node: str, back: bool, spread: bool = True) -> None:
-        """Drain a node at this front, or call its drain back; the other workers of a daemon are told too."""
-        if spread and self.spread is not None:
-            self.spread("drain", node, back)
-        (self.drained.discard if back else self.drained.add)(node)
+    def drain_node(self, node: str, back: bool, broadcast: bool = True) -> None:
+        """Drain a node at this front or cancel its drain; `broadcast`: at the daemon's other workers too."""
+        if broadcast and self.broadcast is not None:
+            self.broadcast("drain", node, back)
+        (self.drained_nodes.discard if back else self.drained_nodes.add)(node)
         if node in self.rows:
-            self.take(forms.Listing("changes", self.version, self.version, [self.rows[node]]), "changes")
+            self.apply_listing(
+                forms.Listing("changes", self.version, self.version, [self.rows[node]]), "changes"
+            )
+
+    def pause_following(self) -> None:
+        """Stop following because a successor does.
 
-    def leave(self) -> None:
-        """Danger: two subscriptions under one name, each taken for the other's death, end each other."""
+        The list service allows one subscription per front name: two would keep ending each other.
+        """
         self.leaving = True
         if self.watcher is not None:
             self.watcher.close()
-        if self.silence is not None:
-            self.silence.cancel()
+        if self.silence_timer is not None:
+            self.silence_timer.cancel()
 
-    def come_back(self) -> None:
+    def resume_following(self) -> None:
+        """Follow again after a successor failed."""
         self.leaving = False
         if self.watcher is not None:
             self.watcher.closed = False
@@ -346,76 +416,90 @@
         if self.pool is None:
             return
         if self.stream is None:
-            if self.turn is not None:
-                self.turn.cancel()
+            if self.retry_timer is not None:
+                self.retry_timer.cancel()
             self.subscribe()
         else:
-            self.listen()
+            self.restart_silence_timer()
 
-    def keep(self) -> None:
-        """Have what is known written, beside the loop; while one is being written the latest waits.
+    def save(self) -> None:
+        """Write the list to the kept file in a thread; during a write, the newest list waits for its end.
 
-        Danger: on a busy disk the renaming alone takes a fifth of a second, and a release tells a change each
-        second: within the loop it would cost plays their time limits.
+        On a busy disk the rename alone takes 200 ms, and during a release there is a change every second:
+        in the event loop, plays would miss their time limits.
         """
-        if not self.kept or self.leaving:
+        if not self.kept_file or self.leaving:
             return
-        self.unkept = True
-        if self.keeping is None:
-            self.write()
+        self.write_pending = True
+        if self.write_task is None:
+            self.start_write()
 
-    def write(self) -> None:
-        self.unkept = False
+    def start_write(self) -> None:
+        """Start writing the current list in a thread."""
+        self.write_pending = False
         rows = [row for row in self.rows.values() if row.state != "gone"]
         kept = forms.Kept(
-            self.stamp.unix_ms, self.stamp.boot, self.stamp.steady, self.churn.changes, self.churn.watched
+            self.confirmed_stamp.unix_ms,
+            self.confirmed_stamp.boot,
+            self.confirmed_stamp.steady,
+            self.churn.changes,
+            self.churn.watched,
         )
         self.written_at = time.monotonic()
         whole = forms.Listing(
-            "whole", self.version, 0, rows, list(self.titles.values()), self.asks.life, kept
+            "whole", self.version, 0, rows, list(self.titles.values()), self.subscription.life, kept
+        )
+        self.write_task = asyncio.get_running_loop().run_in_executor(
+            None, replace_file, self.kept_file, forms.encode(whole)
         )
-        self.keeping = asyncio.get_running_loop().run_in_executor(None, put, self.kept, forms.encode(whole))
-        self.keeping.add_done_callback(self.written)
+        self.write_task.add_done_callback(self.write_done)
 
-    def written(self, done: asyncio.Future) -> None:
-        self.keeping = None
+    def write_done(self, done: asyncio.Future) -> None:
+        """Handle the end of a write, and start the next one if the list has changed meanwhile."""
+        self.write_task = None
         if not done.cancelled() and done.exception() is not None:
-            self.driver.log.warning("the list can't be kept", why=str(done.exception()))
-        if self.unkept:
-            self.keep()
-
-    def ended(self, reply: Reply) -> None:
-        if self.silence is not None:
-            self.silence.cancel()
+            self.driver.log.warning("the list can't be written to the kept file", why=str(done.exception()))
+        if self.write_pending:
+            self.save()
+
+    def stream_ended(self, reply: Reply) -> None:
+        """Handle the end of the subscription: retry later, and meanwhile ask a peer."""
+        if self.silence_timer is not None:
+            self.silence_timer.cancel()
         if self.pool.closed or self.leaving:
             self.stream = None
             return
-        if not self.failing:
-            self.failing = True
+        if not self.service_failing:
+            self.service_failing = True
             self.driver.update_nodes("failed", [])
-            self.driver.log.warning("the list service is out of reach", how=reply.ending)
-        self.outcome = True
-        self.look_ready()
-        self.turn = self.driver.timers.after(self.asks.ended(lists.away(reply)), self.subscribe)
-        self.borrower.wanted()
+            self.driver.log.warning(
+                "the list service can't be reached; keeping the present list", how=reply.ending
+            )
+        self.first_result_known = True
+        self.check_ready()
+        self.retry_timer = self.driver.timers.after(
+            self.subscription.ended(lists.retry_after_s(reply)), self.subscribe
+        )
+        self.peer_list_client.on_service_failure()
 
     def state(self) -> dict:
-        """For `/v1/state`: what the front goes by, and whether the service has said so in this process."""
+        """Return the list's part of `/v1/state`."""
         return {
             "version": self.version,
-            "life": self.asks.life,
-            "confirmed": self.spoken,
-            "reached": self.spoken and not self.failing,
-            "behind": self.asks.behind,
+            "life": self.subscription.life,
+            "confirmed": self.service_heard,
+            "reached": self.service_heard and not self.service_failing,
+            "behind": self.subscription.behind,
             "trust": round(self.belief.trust, 3),
             "unsure": len(self.belief.unsure),
-            "age_s": age(self.stamp, stamp()),
+            "age_s": age(self.confirmed_stamp, current_stamp()),
         }
 
     def close(self) -> None:
-        self.borrower.close()
-        if self.turn is not None:
-            self.turn.cancel()
+        """Cancel timers and close the connections to the list service."""
+        self.peer_list_client.close()
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
         if self.watcher is not None:
             self.watcher.close()
         if self.pool is not None:
--- a/curlewhall/front/lists.py
+++ b/curlewhall/front/lists.py
@@ -1,8 +1,9 @@
-"""Lists from front to front: one that has the list hands it to one that the list service leaves without.
+"""Copies of the list between fronts, for a front that can't get it from the list service.
 
-`GET /v1/list?have=VERSION&life=LIFE` at a front, in the words of the list service, answered with one line.
-`Age` (RFC 9111 section 5.1) tells how long ago the service confirmed it. The asker proves that it is a front
-of the fleet by a token of the key that fronts share. When and whom is decided in `curlewhall.start`.
+`GET /v1/list?have=VERSION&life=LIFE` at a front has the format of the list service and is answered with one
+line. `Age` (RFC 9111 section 5.1) tells how long ago the service confirmed the list. The requester proves
+with a token signed with the fronts' shared key that it belongs to the fleet. `curlewhall.start` decides
+when a front asks, and which peer.
 """
 
 import time
@@ -22,146 +23,181 @@
 
 from . import problems
 
-AUDIENCE = "curlewhall:list"  # of an asker's token
-LIFE = 10.0  # seconds that it holds
-LIMIT = 1.0  # seconds for an answer: a list of 1,000 nodes takes some 10 ms
-BOOT = Path("/proc/sys/kernel/random/boot_id")
+TOKEN_AUDIENCE = "curlewhall:list"
+TOKEN_LIFETIME_S = 10.0
+REQUEST_TIMEOUT_S = 1.0  # a list of 1,000 nodes takes about 10 ms
+BOOT_ID_FILE = Path("/proc/sys/kernel/random/boot_id")
 
 
 @cache
-def boot() -> str:
-    """The machine's boot by name; "" on other systems. It does not change while a process lives."""
-    return BOOT.read_text().strip() if BOOT.exists() else ""
+def boot_id() -> str:
+    """Return the kernel's id of this boot; "" on systems without one. Constant while a process runs."""
+    return BOOT_ID_FILE.read_text().strip() if BOOT_ID_FILE.exists() else ""
 
 
-def stamp() -> Stamp:
-    """Now, for a list on disk. Without a boot's name only the wall clock counts."""
-    return Stamp(int(time.time() * 1000), boot(), time.clock_gettime(time.CLOCK_BOOTTIME) if boot() else 0.0)
+def current_stamp() -> Stamp:
+    """Return the present time for a list on disk; without a boot id only its wall clock is used."""
+    return Stamp(
+        int(time.time() * 1000), boot_id(), time.clock_gettime(time.CLOCK_BOOTTIME) if boot_id() else 0.0
+    )
 
 
-def had(follower) -> Had:
-    return Had(follower.asks.life, follower.asks.latest, age(follower.stamp, stamp()))
+def list_status(follower) -> Had:
+    """Return the life, version and age of the follower's list."""
+    return Had(
+        follower.subscription.life,
+        follower.subscription.latest,
+        age(follower.confirmed_stamp, current_stamp()),
+    )
 
 
-def away(reply: Reply) -> float | None:
-    """For how many seconds whoever turned a request away asks to be left alone; None: it did not say."""
-    shed = reply.message is not None and reply.message.status == 503
-    after = reply.message.headers.get("retry-after", "") if shed else ""
+def retry_after_s(reply: Reply) -> float | None:
+    """Return the seconds of `Retry-After` in a 503 response; None if there is none."""
+    declined = reply.message is not None and reply.message.status == 503
+    after = reply.message.headers.get("retry-after", "") if declined else ""
     return float(after) if after.isascii() and after.isdigit() else None
 
 
-class NoBorrower:
-    """A front that has no peers to ask, or no list service that could leave it without."""
+class NoPeerListClient:
+    """Null object for a front that has no peers to ask, or no list service."""
 
     def start(self) -> None: ...
 
-    def wanted(self) -> None: ...
+    def on_service_failure(self) -> None: ...
 
     def close(self) -> None: ...
 
 
-class Borrower(NoBorrower):
-    """The side of the front that lacks a list that was confirmed lately."""
+class PeerListClient(NoPeerListClient):
+    """Asks peers for their list, one at a time, while the follower has no current one.
+
+    `pools`: connections to the peers, by index.
+    """
 
-    def __init__(self, follower, pools: dict[int, Pool], key: bytes, seed: int) -> None:
-        self.follower, self.pools, self.key = follower, pools, key
-        self.timers, self.turn, self.ask = follower.driver.timers, None, None
+    def __init__(self, follower, pools: dict[int, Pool], token_key: bytes, seed: int) -> None:
+        self.follower = follower
+        self.pools = pools
+        self.token_key = token_key
+        self.timers = follower.driver.timers
+        self.timer = None
+        self.request = None
         self.borrows = Borrows(seed, list(pools), follower.driver.start_settings.get("fronts", 1))
         self.closed = False
 
     def start(self) -> None:
+        """Schedule the first request; sooner if the follower has no list at all."""
         wait = self.borrows.begin(bare=not self.follower.rows)
         if wait is not None:
-            self.turn = self.timers.after(wait, self.next)
+            self.timer = self.timers.after(wait, self.ask_next_peer)
 
-    def wanted(self) -> None:
-        """The service has just failed this front."""
-        if self.turn is None and self.ask is None and not self.closed:
-            self.turn = self.timers.after(self.borrows.waits.next(), self.next)
+    def on_service_failure(self) -> None:
+        """Schedule a request because the list service has just failed."""
+        if self.timer is None and self.request is None and not self.closed:
+            self.timer = self.timers.after(self.borrows.waits.next(), self.ask_next_peer)
 
-    def next(self) -> None:
-        self.turn = None
-        if self.closed or self.follower.leaving or not self.follower.astray:
+    def ask_next_peer(self) -> None:
+        """Request the list of the next peer, unless the follower has a current one."""
+        self.timer = None
+        if self.closed or self.follower.leaving or not self.follower.needs_list:
             return
         peer = self.borrows.next(time.monotonic())
         if peer is None:
-            self.again(None, took=False)
+            self.schedule_next(None, accepted=False)
             return
         follower, pool = self.follower, self.pools[peer]
-        session = tokens.Session("list", 0, AUDIENCE, follower.front, "", "")
-        proof = tokens.sign(session, self.key, time.time(), LIFE)
-        have = follower.asks.latest if follower.rows else 0
-        target = f"/v1/list?have={have}&life={quote(follower.asks.life, safe='')}"
-        data = request_bytes("GET", target, pool.host, authorization=f"Bearer {proof}")
-        self.ask = pool.ask(data, LIMIT, lambda reply: self.answered(peer, reply))
-
-    def again(self, peer: int | None, took: bool, retry_after: float | None = None) -> None:
+        session = tokens.Session("list", 0, TOKEN_AUDIENCE, follower.front, "", "")
+        token = tokens.sign(session, self.token_key, time.time(), TOKEN_LIFETIME_S)
+        have = follower.subscription.latest if follower.rows else 0
+        target = f"/v1/list?have={have}&life={quote(follower.subscription.life, safe='')}"
+        data = request_bytes("GET", target, pool.host, authorization=f"Bearer {token}")
+        self.request = pool.ask(data, REQUEST_TIMEOUT_S, lambda reply: self.response_received(peer, reply))
+
+    def schedule_next(self, peer: int | None, accepted: bool, retry_after: float | None = None) -> None:
+        """Schedule the next request after the result of `peer` (None: no peer could be asked)."""
         if not self.closed:
-            wait = self.borrows.ended(time.monotonic(), peer, took, retry_after)
-            self.turn = self.timers.after(wait, self.next)
+            wait = self.borrows.ended(time.monotonic(), peer, accepted, retry_after)
+            self.timer = self.timers.after(wait, self.ask_next_peer)
 
-    def answered(self, peer: int, reply: Reply) -> None:
-        self.ask = None
+    def response_received(self, peer: int, reply: Reply) -> None:
+        """Pass a peer's list to the follower, if it still needs one."""
+        self.request = None
         if reply.ending != "ok" or reply.message.status != 200:
-            self.again(peer, False, away(reply))
+            self.schedule_next(peer, False, retry_after_s(reply))
             return
         try:
             listing = forms.decode(forms.Listing, reply.message.body)
             seconds = float(reply.message.headers.get("age", ""))
         except (forms.DecodeError, ValueError) as err:
-            self.follower.driver.log.warning("a peer's list is malformed", peer=peer, why=describe(err))
-            self.again(peer, False)
+            self.follower.driver.log.warning(
+                "malformed list from a peer; ignored", peer=peer, why=describe(err)
+            )
+            self.schedule_next(peer, False)
             return
-        if self.follower.astray:
-            self.follower.lent(listing, seconds)
-        self.again(peer, True)
+        if self.follower.needs_list:
+            self.follower.accept_peer_list(listing, seconds)
+        self.schedule_next(peer, True)
 
     def close(self) -> None:
+        """Send no further request."""
         self.closed = True
-        if self.turn is not None:
-            self.turn.cancel()
+        if self.timer is not None:
+            self.timer.cancel()
+
 
+class PeerListServer:
+    """Answers peers' requests for this front's list."""
 
-class Lender:
-    """The side of the front that has one."""
+    def __init__(self, follower, token_key: bytes) -> None:
+        self.follower = follower
+        self.token_key = token_key
+        self.lends = Lends()
 
-    def __init__(self, follower, key: bytes) -> None:
-        self.follower, self.key, self.lends = follower, key, Lends()
+    def handle_request(self, exchange: Exchange, query: str) -> None:
+        """Answer `GET /v1/list`: the whole list, or only a confirmation where the peer has the same version.
 
-    def asked(self, exchange: Exchange, query: str) -> None:
+        403 without a valid token, 404 without a recently confirmed list, 503 after too many whole lists.
+        """
         bearer, follower = exchange.request.headers.get("authorization", ""), self.follower
         try:
-            tokens.check(bearer.removeprefix("Bearer "), self.key, AUDIENCE)
+            tokens.check(bearer.removeprefix("Bearer "), self.token_key, TOKEN_AUDIENCE)
         except tokens.TokenError as err:
-            problems.answer(exchange, 403, f"lists are for fronts of this fleet: {err}")
+            problems.answer(exchange, 403, f"Lists are given only to fronts of this fleet: {err}")
             return
-        mine, given = had(follower), dict(parse_qsl(query))
-        if not follower.rows or not self.lends.sound(mine, follower.churn.trust(mine.seconds)):
-            problems.answer(exchange, 404, "This front has no list that was confirmed lately")
+        own, params = list_status(follower), dict(parse_qsl(query))
+        if not follower.rows or not self.lends.sound(own, follower.churn.trust(own.seconds)):
+            problems.answer(exchange, 404, "This front has no recently confirmed list")
             return
-        same = (given.get("have"), given.get("life", "")) == (str(mine.version), mine.life)
-        if not same and not self.lends.may(time.monotonic()):
+        up_to_date = (params.get("have"), params.get("life", "")) == (str(own.version), own.life)
+        if not up_to_date and not self.lends.may(time.monotonic()):
             problems.answer(
-                exchange, 503, "This front has handed out enough lists for now", away=int(LENT_LATER * 10_000)
+                exchange,
+                503,
+                "This front has sent the most whole lists that it may send for now",
+                retry_after=int(LENT_LATER * 10_000),
             )
             return
-        rows = [] if same else [row for row in follower.rows.values() if row.state != "gone"]
-        titles = [] if same else list(follower.titles.values())
+        rows = [] if up_to_date else [row for row in follower.rows.values() if row.state != "gone"]
+        titles = [] if up_to_date else list(follower.titles.values())
         listing = forms.Listing(
-            "changes" if same else "whole", mine.version, mine.version if same else 0, rows, titles, mine.life
+            "changes" if up_to_date else "whole",
+            own.version,
+            own.version if up_to_date else 0,
+            rows,
+            titles,
+            own.life,
         )
         exchange.reply(
             200,
-            {"content-type": "application/jsonl", "age": str(ceil(mine.seconds))},
+            {"content-type": "application/jsonl", "age": str(ceil(own.seconds))},
             forms.encode(listing) + b"\n",
         )
 
 
-def taken(follower, listing: forms.Listing, seconds: float) -> bool:
-    """Whether a peer's list, confirmed so long ago, is to be gone by."""
-    theirs = Had(listing.life, listing.version, seconds if seconds >= 0 else None)
+def is_acceptable(follower, listing: forms.Listing, seconds: float) -> bool:
+    """Whether a peer's list, confirmed `seconds` ago, is valid and better than the follower's."""
+    offered = Had(listing.life, listing.version, seconds if seconds >= 0 else None)
     return (
         listing.how in ("whole", "changes")
-        and better(had(follower), theirs)
-        and Lends.sound(theirs, follower.churn.trust(theirs.seconds))
+        and better(list_status(follower), offered)
+        and Lends.sound(offered, follower.churn.trust(offered.seconds))
     )
--- a/curlewhall/front/parting.py
+++ b/curlewhall/front/parting.py
@@ -1,8 +1,8 @@
-"""A front that leaves without a successor gives the plays that it holds to its peers, and takes theirs.
+"""Transfers plays from a front that stops without a successor to its peers.
 
-The node is where it is settled whose a play is: the peer that takes it asks the node to change its front, so
-that at each moment one front holds it. Offers are signed with the key of the viewers' tokens, which fronts
-and nodes share (RFC 7519).
+The node decides which front holds a play: a peer that accepts an offer asks the node to change the play's
+front, so that exactly one front holds it at any time. Offers are signed with the key of the viewers'
+tokens, which fronts and nodes share (RFC 7519).
 """
 
 import asyncio
@@ -15,137 +15,154 @@
 
 from . import problems
 from .driver import ActivePlay
-from .sharing import order, takes
+from .sharing import has_free_seat, peer_order
 
-AUDIENCE = "curlewhall:offer"  # of an offer's token, where a viewer's has its node
-OUT = 32  # offers under way at once: a peer's loop is busy with viewers as well
-LIMIT = 1.5  # seconds for an answer, in which the peer asks the node
-LONGEST = 6.0  # seconds for all of them; what is left stays at its node for the next start
-LIFE = 10.0  # seconds that an offer's token holds
+OFFER_AUDIENCE = "curlewhall:offer"  # a viewer's token names its node here
+MAX_CONCURRENT_OFFERS = 32  # peers also have to serve their viewers
+OFFER_TIMEOUT_S = 1.5  # includes the peer's request to the node
+TRANSFER_TIMEOUT_S = 6.0  # for all plays; the rest stay at their nodes until the front's next start
+TOKEN_LIFETIME_S = 10.0
 
 
-class Giving:
-    """The side of the front that leaves."""
+class PlayTransfer:
+    """The side of the front that stops. `front`: its `FrontProcess`."""
 
     def __init__(self, front) -> None:
-        self.front, self.driver, self.peers = front, front.driver, list(front.fellows.values())
-        self.given = 0
+        self.front = front
+        self.driver = front.driver
+        self.peer_pools = list(front.peer_pools.values())
+        self.transferred = 0
 
-    async def all(self) -> int:
-        """Offer every play; answers how many were taken."""
+    async def transfer_all(self) -> int:
+        """Offer every play to the peers; return how many were accepted."""
         waiting = [
             active_play
             for active_play in self.driver.plays.values()
             if active_play.playing_number is not None
         ]
-        until = self.front.loop.time() + LONGEST
+        deadline = self.front.loop.time() + TRANSFER_TIMEOUT_S
 
         async def worker() -> None:
-            while waiting and self.front.loop.time() < until:
-                await self.one(waiting.pop())
+            while waiting and self.front.loop.time() < deadline:
+                await self.transfer(waiting.pop())
 
-        if self.peers:
-            await asyncio.gather(*(worker() for _ in range(min(OUT, len(waiting)))))
-        return self.given
+        if self.peer_pools:
+            await asyncio.gather(*(worker() for _ in range(min(MAX_CONCURRENT_OFFERS, len(waiting)))))
+        return self.transferred
 
-    async def one(self, active_play: ActivePlay) -> None:
-        facts = active_play.info
-        for i in order(facts.play, len(self.peers)):
+    async def transfer(self, active_play: ActivePlay) -> None:
+        """Offer one play to one peer after the other until one accepts."""
+        info = active_play.info
+        for i in peer_order(info.play, len(self.peer_pools)):
             if active_play.playing_number is None:
-                return  # over meanwhile
+                return  # ended meanwhile
             number = active_play.playing_number + active_play.number_offset
-            now = forms.msgspec.structs.replace(facts, number=number, rung=active_play.rung)
+            current_info = forms.msgspec.structs.replace(info, number=number, rung=active_play.rung)
             session = tokens.Session(
-                facts.play, number, AUDIENCE, self.front.viewers.front, facts.title, facts.product
+                info.play, number, OFFER_AUDIENCE, self.front.viewers.front, info.title, info.product
             )
-            proof = tokens.sign(session, self.front.viewers.key, time.time(), LIFE)
-            pool = self.peers[i]
-            body = forms.encode(forms.Offer(self.front.viewers.front, now, active_play.node))
+            token = tokens.sign(session, self.front.viewers.token_key, time.time(), TOKEN_LIFETIME_S)
+            pool = self.peer_pools[i]
+            body = forms.encode(forms.Offer(self.front.viewers.front, current_info, active_play.node))
             reply = await pool.fetch(
-                request_bytes("POST", "/v1/offer", pool.host, body, authorization=f"Bearer {proof}"), LIMIT
+                request_bytes("POST", "/v1/offer", pool.host, body, authorization=f"Bearer {token}"),
+                OFFER_TIMEOUT_S,
             )
             if reply.ending == "ok" and reply.message.status == 204:
-                self.given += 1
-                self.driver.plays.pop(facts.play, None)
-                self.driver.play_store.play_ended(facts.play)
+                self.transferred += 1
+                self.driver.plays.pop(info.play, None)
+                self.driver.play_store.play_ended(info.play)
                 return
             if reply.ending not in ("ok", "unreached", "not_sent"):
-                return  # it may have been taken: offering it to another could make two of one
+                return  # this peer may have accepted it: a second one could end up holding it too
 
 
-class Taking:
+class OfferReceiver:
     """The side of the peer."""
 
     def __init__(self, viewers) -> None:
-        self.viewers, self.driver = viewers, viewers.driver
+        self.viewers = viewers
+        self.driver = viewers.driver
 
-    def offered(self, exchange: Exchange) -> None:
+    def handle_offer(self, exchange: Exchange) -> None:
+        """Answer `POST /v1/offer`: 204 accepted, 409 not accepted, 400 or 403 for an invalid offer."""
         bearer = exchange.request.headers.get("authorization", "")
         try:
             offer = forms.decode(forms.Offer, exchange.request.body)
-            session = tokens.check(bearer.removeprefix("Bearer "), self.viewers.key, AUDIENCE)
+            session = tokens.check(bearer.removeprefix("Bearer "), self.viewers.token_key, OFFER_AUDIENCE)
         except forms.DecodeError as err:
             problems.answer(exchange, 400, err.detail, remedy=err.remedy)
             return
         except tokens.TokenError as err:
-            problems.answer(exchange, 403, f"an offer of nobody: {err}")
+            problems.answer(exchange, 403, f"The offer has no valid token: {err}")
             return
-        facts = offer.facts
-        if (session.play, session.number, session.front) != (facts.play, facts.number, offer.front):
-            problems.answer(exchange, 403, "the token is for another play")
-        elif not self.can(offer):
-            problems.answer(exchange, 409, "not taken")
+        info = offer.facts
+        if (session.play, session.number, session.front) != (info.play, info.number, offer.front):
+            problems.answer(exchange, 403, "The token is for another play, number or front than the offer")
+        elif not self.can_take(offer):
+            problems.answer(exchange, 409, "This front can't accept the play")
         else:
-            self.take(exchange, offer)
+            self.take_over(exchange, offer)
 
-    def can(self, offer: forms.Offer) -> bool:
-        driver, facts = self.driver, offer.facts
+    def can_take(self, offer: forms.Offer) -> bool:
+        """Whether this front can accept the play: node and title known, a seat free, not shutting down."""
+        driver, info = self.driver, offer.facts
         node = driver.nodes.nodes.get(offer.node)
         if (
-            not self.viewers.open
+            not self.viewers.accepting
             or driver.successor is not None
             or node is None
-            or not node.greeted
+            or not node.hello_received
             or node.stream is None
-            or facts.play in driver.plays
-            or facts.play in driver.plays_at_predecessor
-            or facts.title not in self.viewers.titles
-            or facts.product not in self.viewers.products
+            or info.play in driver.plays
+            or info.play in driver.plays_at_predecessor
+            or info.title not in self.viewers.titles
+            or info.product not in self.viewers.products
         ):
             return False
-        index = self.viewers.products[facts.product][0]
+        index = self.viewers.products[info.product][0]
         plays_held = sum(
-            h.info.title == facts.title and h.info.product == facts.product
+            active_play.info.title == info.title and active_play.info.product == info.product
             for plays in (driver.plays, driver.plays_at_predecessor)
-            for h in plays.values()
+            for active_play in plays.values()
         )
-        return takes(driver.start_settings["specifics.seats"][index], plays_held)
+        return has_free_seat(driver.start_settings["specifics.seats"][index], plays_held)
 
-    def take(self, exchange: Exchange, offer: forms.Offer) -> None:
-        """Danger: two fronts that count a seat for a play, or none. The module counts it from now on."""
-        driver, facts = self.driver, offer.facts
+    def take_over(self, exchange: Exchange, offer: forms.Offer) -> None:
+        """Ask the node to change the play's front to this one.
+
+        The module counts the play's seat from here on, before the node confirms, so that the seat is never
+        counted by no front; if the node does not confirm, the module is told that the play ended, so that
+        not two count it.
+        """
+        driver, info = self.driver, offer.facts
         now = driver.clock.now()
-        active_play = ActivePlay(facts, self.viewers.titles[facts.title], None, now, now)
+        active_play = ActivePlay(info, self.viewers.titles[info.title], None, now, now)
         active_play.latest_node = offer.node
-        driver.plays_at_predecessor[facts.play] = active_play
+        driver.plays_at_predecessor[info.play] = active_play
         driver.register_existing_play(active_play, offer.node)
-        body = forms.encode(forms.Given(facts.number, self.viewers.front, self.viewers.location(facts)))
+        body = forms.encode(
+            forms.Given(info.number, self.viewers.front, self.viewers.manifest_location(info))
+        )
         node = driver.nodes.nodes[offer.node]
-        data = request_bytes("PUT", f"/v1/plays/{facts.play}/front", node.pool.host, body)
-        node.pool.ask(data, LIMIT / 2, lambda reply: self.taken(exchange, offer, active_play, reply))
+        data = request_bytes("PUT", f"/v1/plays/{info.play}/front", node.pool.host, body)
+        node.pool.ask(
+            data, OFFER_TIMEOUT_S / 2, lambda reply: self.node_responded(exchange, offer, active_play, reply)
+        )
 
-    def taken(self, exchange: Exchange, offer: forms.Offer, active_play: ActivePlay, reply) -> None:
+    def node_responded(self, exchange: Exchange, offer: forms.Offer, active_play: ActivePlay, reply) -> None:
+        """Adopt the play if its node has changed the front, and answer the offer accordingly."""
         driver, play = self.driver, offer.facts.play
         driver.plays_at_predecessor.pop(play, None)
         if reply.ending == "ok" and reply.message.status == 204:
             driver.adopt_play(active_play, offer.node)
-            driver.log.info("taken over", play=play, node=offer.node, front=offer.front)
+            driver.log.info("play taken over from a peer", play=play, node=offer.node, front=offer.front)
             exchange.reply(204)
             return
         driver.dispatch("ended", play, 0, offer.node, "withdrawn", True, 0, {})
         node = driver.nodes.nodes.get(offer.node)
         if reply.ending not in ("ok", "unreached", "not_sent") and node is not None and node.stream:
-            # it may have been given to us: the node's next hello tells, and shows what is not known here
-            node.greeted = False
+            # The node may have made the change: its next hello shows, and lets the play be resumed.
+            node.hello_received = False
             node.stream.withdraw()
-        problems.answer(exchange, 409, "its node did not give it")
+        problems.answer(exchange, 409, "Its node did not confirm the change of front")
--- a/curlewhall/front/serve.py
+++ b/curlewhall/front/serve.py
@@ -1,4 +1,7 @@
-"""One front as a process: puts the sides together, runs until it is told to stop."""
+"""One front as a process: assembles the parts and serves until it is stopped.
+
+`run` is called by the command line; a daemon's worker uses `FrontProcess` directly.
+"""
 
 import asyncio
 import contextlib
@@ -35,35 +38,37 @@
 
 from .collector import tune_garbage_collector
 from .driver import Driver
-from .listing import Follower
-from .lists import Borrower, Lender
+from .listing import ListFollower
+from .lists import PeerListClient, PeerListServer
 from .nodes import Nodes
-from .parting import Giving
+from .parting import PlayTransfer
 from .peers import Peers
 from .viewers import Viewers
 
-POLICY = "curlewhall.policy:Front"
-LAST = 0.1  # seconds for who is on the way when the listener is closed, and for requests and the last answers
+DEFAULT_POLICY = "curlewhall.policy:Front"
+# Time for connections that arrive while the listener is closed, and again for their requests and last
+# answers.
+CLOSE_DELAY_S = 0.1
 
 
-def policy(name: str) -> Callable:
-    """The class that `MODULE:CLASS` names; `ValueError` says what is wrong with it."""
-    module, colon, cls = name.partition(":")
+def load_class(name: str) -> Callable:
+    """Return the class that `MODULE:CLASS` names; `ValueError` if the name or the class is invalid."""
+    module, colon, class_name = name.partition(":")
     if not colon:
         raise ValueError(f"{name!r} is not MODULE:CLASS")
     try:
-        found = getattr(importlib.import_module(module), cls)
+        loaded = getattr(importlib.import_module(module), class_name)
     except (ImportError, AttributeError, ValueError) as err:
         raise ValueError(f"{name!r}: {err}") from None
-    if not callable(found):
-        raise ValueError(f"{name!r} is no class")
-    return found
+    if not callable(loaded):
+        raise ValueError(f"{name!r} is not a class")
+    return loaded
 
 
-def limits(file: FrontFile) -> Limits:
-    """The wire's limits with what the operator's file says otherwise."""
-    given, plain = file.limits, Limits()
-    named = {
+def http_limits(file: FrontFile) -> Limits:
+    """Return the default HTTP limits, replaced where the settings file sets others."""
+    configured, defaults = file.limits, Limits()
+    fields = {
         "connections": ("viewer_connections", 1),
         "line": ("line_bytes", 1),
         "head": ("head_bytes", 1),
@@ -72,57 +77,67 @@
         "idle": ("idle_ms", 1000),
         "write": ("write_ms", 1000),
     }
-    return plain._replace(
+    return defaults._replace(
         **{
-            name: getattr(given, field) / unit if unit > 1 else getattr(given, field)
-            for name, (field, unit) in named.items()
-            if given.HasField(field)
+            name: getattr(configured, field) / unit if unit > 1 else getattr(configured, field)
+            for name, (field, unit) in fields.items()
+            if configured.HasField(field)
         }
     )
 
 
 class FrontProcess:
-    """A front within a running loop; `start` opens its sockets, `stop` answers what it took and closes
-    them. `coming`: what a predecessor hands over (`daemon.handover.Coming`), None for one that starts alone.
+    """A front in the running event loop; `start` opens its sockets, `stop` answers open requests and closes.
+
+    `create_module`, `create_mover`, `create_sites`: classes used in place of the default ones.
+    `predecessor`: the state that another process hands over (`daemon.handover`); None for a front that
+    starts on its own.
     """
 
     def __init__(
         self,
         file: FrontFile,
         log,
-        make: Callable | None = None,
-        mover: Callable | None = None,
-        coming=None,
-        sites: Callable | None = None,
+        create_module: Callable | None = None,
+        create_mover: Callable | None = None,
+        predecessor=None,
+        create_sites: Callable | None = None,
     ) -> None:
-        self.file, self.log, self.coming = file, log, coming
+        self.file = file
+        self.log = log
+        self.predecessor = predecessor
         self.loop = asyncio.get_running_loop()
         self.timers = Timers(self.loop)
-        boot = int.from_bytes(os.urandom(4), "big")
+        process_tag = int.from_bytes(os.urandom(4), "big")
         name, settings = file.identity.name, start_settings(file)
-        seed = file.identity.seed or boot
+        seed = file.identity.seed or process_tag
         self.driver = Driver(
-            make or policy(POLICY),
+            create_module or load_class(DEFAULT_POLICY),
             seed,
             settings,
             self.timers,
             log,
-            started_at=coming.born() if coming is not None else None,
+            started_at=predecessor.born() if predecessor is not None else None,
+        )
+        answer_margin_ms = file.limits.answer_margin_ms if file.limits.HasField("answer_margin_ms") else 100
+        listen_settings = file.listen
+        public_url = (
+            listen_settings.public_url.rstrip("/")
+            or f"http://{listen_settings.address}:{listen_settings.port}"
         )
-        margin = file.limits.answer_margin_ms if file.limits.HasField("answer_margin_ms") else 100
-        where = file.listen
-        url = where.public_url.rstrip("/") or f"http://{where.address}:{where.port}"
-        key, life = read_key(file.tokens.key_file), file.tokens.life_s or 3600
-        self.viewers = Viewers(self.driver, name, url, key, life, 10 * margin, boot)
-        may = file.permissions
-        connect = (may.connect_time_limit_ms or 250) / 1000
+        token_key, token_lifetime_s = read_key(file.tokens.key_file), file.tokens.life_s or 3600
+        self.viewers = Viewers(
+            self.driver, name, public_url, token_key, token_lifetime_s, 10 * answer_margin_ms, process_tag
+        )
+        permissions = file.permissions
+        connect_timeout_s = (permissions.connect_time_limit_ms or 250) / 1000
         self.nodes = Nodes(
             self.driver,
             self.loop,
             self.timers,
             name,
-            connect,
-            (may.probe_time_limit_ms or 250) / 1000,
+            connect_timeout_s,
+            (permissions.probe_time_limit_ms or 250) / 1000,
             Turns(seed, file.identity.index, file.identity.fronts),
         )
         self.peers = Peers(self.driver, {p.index: (p.address, p.port) for p in file.peer})
@@ -144,20 +159,20 @@
             if not file.HasField("list_service")
             else Pool(self.loop, self.timers, file.list_service.address, file.list_service.port)
         )
-        self.fellows = {
-            p.index: Pool(self.loop, self.timers, there.hostname, there.port)
+        self.peer_pools = {
+            p.index: Pool(self.loop, self.timers, url_parts.hostname, url_parts.port)
             for p in file.peer
-            if p.url and (there := urlsplit(p.url)).hostname and there.port
+            if p.url and (url_parts := urlsplit(p.url)).hostname and url_parts.port
         }
-        self.follower = Follower(
-            self.driver, service, name, file.list_service.kept_file, seed, bool(self.fellows)
+        self.follower = ListFollower(
+            self.driver, service, name, file.list_service.kept_file, seed, bool(self.peer_pools)
         )
-        self.viewers.follower, self.nodes.answered = self.follower, self.follower.answered
-        self.viewers.lender = Lender(self.follower, key)
-        if service is not None and self.fellows:
-            self.follower.borrower = Borrower(self.follower, self.fellows, key, seed)
+        self.viewers.follower, self.nodes.on_hello = self.follower, self.follower.node_identified
+        self.viewers.peer_list_server = PeerListServer(self.follower, token_key)
+        if service is not None and self.peer_pools:
+            self.follower.peer_list_client = PeerListClient(self.follower, self.peer_pools, token_key, seed)
         self.driver.sites = Watch(
-            self, file.identity.index, seed, lambda: self.viewers.titles, sites or Sites
+            self, file.identity.index, seed, lambda: self.viewers.titles, create_sites or Sites
         )
         self.open_store()
         drain_within = 10 * (file.moves.drain_within_ms or 30_000)
@@ -169,22 +184,22 @@
                 self.timers,
                 self.driver.clock,
                 log,
-                self.follower.from_files,
+                self.follower.apply_inventory,
                 lambda node: len(self.driver.moves.mover.plays_by_node.get(node, ())),
                 self.follower.as_inventory,
             )
         self.driver.moves = MoveExecutor(
-            self.driver, self.timers, (mover or Mover)(self.driver.clock.now(), settings, drain_within)
+            self.driver, self.timers, (create_mover or Mover)(self.driver.clock.now(), settings, drain_within)
         )
         self.server = self.console = None
-        self.hurried, self.ready = False, asyncio.Event()
-        if coming is not None:
-            coming.take_up(self)
+        self.stop_hurried, self.ready = False, asyncio.Event()
+        if predecessor is not None:
+            predecessor.take_up(self)
 
     def open_store(self) -> None:
-        """The state's folder, or the budget's window alone where there is none.
+        """Open the state folder; without one, keep only the reallocation budget's window, in memory.
 
-        `StoreLockedError`, `NewerFormatError`, `OSError`: the folder can't be had.
+        Raises `StoreLockedError`, `NewerFormatError` or `OSError` if the folder can't be used.
         """
         file, log = self.file, self.log
         if file.state.folder:
@@ -197,24 +212,25 @@
             store = Store(folder, self.loop, self.timers, log)
         else:
             state = State(file.rules.look_back_ms)
-            for entry in self.coming.entries if self.coming is not None else ():
+            for entry in self.predecessor.entries if self.predecessor is not None else ():
                 state.apply(entry)
             store = MemoryStore(state, self.loop)
         strict = bool(file.state.folder) and file.state.durability == STRICT
-        # a folder that is empty may be one whose files were lost: only without one is it surely a first start
-        alone = not file.state.folder and self.coming is None
+        # An empty folder may be one whose folder were lost; only without a folder is this certainly a first
+        # start.
+        alone = not file.state.folder and self.predecessor is None
         self.driver.play_store = PlayStore(store, strict, self.driver.start_settings, state, alone)
 
     def open_peers(self) -> None:
-        """`OSError` where the address is taken."""
-        where, self.peer_task = self.file.listen, None
-        if where.peer_port:
-            address = where.peer_address or where.address
+        """Open the socket for messages of peers; `OSError` if the address is in use."""
+        listen_settings, self.peer_task = self.file.listen, None
+        if listen_settings.peer_port:
+            address = listen_settings.peer_address or listen_settings.address
             family = socket.AF_INET6 if ":" in address else socket.AF_INET
             sock = socket.socket(family, socket.SOCK_DGRAM)
             try:
                 sock.setblocking(False)
-                sock.bind((address, where.peer_port))
+                sock.bind((address, listen_settings.peer_port))
             except OSError:
                 sock.close()
                 raise
@@ -223,83 +239,95 @@
             )
 
     def close_peers(self) -> None:
+        """Close the socket for messages of peers."""
         if self.peers.transport is not None:
             self.peers.transport.close()
             self.peers.transport = None
 
-    async def start(self, sock: socket.socket | None = None, page: socket.socket | None = None) -> None:
-        """Serve on `sock`, a listening socket, or on one of its own; the console on `page` likewise."""
-        where = self.file.listen
-        # every socket is there before anything is told: nothing starts half
-        own = sock is None
-        sock = listen(where.address, where.port) if own else sock
+    async def start(
+        self, sock: socket.socket | None = None, console_sock: socket.socket | None = None
+    ) -> None:
+        """Serve on the listening socket `sock`, or on new ones; the console on `console_sock`.
+
+        Raises `OSError`, with every new socket closed again, if an address is in use.
+        """
+        listen_settings = self.file.listen
+        # All sockets are opened before anything else starts, so that a failed start leaves nothing running.
+        opens_sockets = sock is None
+        sock = listen(listen_settings.address, listen_settings.port) if opens_sockets else sock
         try:
-            if own and self.file.HasField("console"):
-                page = listen(self.file.console.address, self.file.console.port)
+            if opens_sockets and self.file.HasField("console"):
+                console_sock = listen(self.file.console.address, self.file.console.port)
             self.open_peers()
         except OSError:
-            for opened in filter(None, (sock, page) if own else ()):
+            for opened in filter(None, (sock, console_sock) if opens_sockets else ()):
                 opened.close()
             raise
-        if page is not None:
-            self.open_console(page)
-        self.server = Server(self.loop, self.timers, sock, self.viewers.handle, limits(self.file))
+        if console_sock is not None:
+            self.open_console(console_sock)
+        self.server = Server(self.loop, self.timers, sock, self.viewers.handle, http_limits(self.file))
         self.follower.start()
         self.driver.sites.start()
         if self.peers.members is not None:
             if self.peer_task is not None:
                 await self.peer_task
             self.peers.members.start()
-        self.follower.when_ready(self.tell_ready)
+        self.follower.call_when_ready(self.announce_ready)
 
-    def tell_ready(self) -> None:
-        """Viewers were answered from the first moment; from now on they may be sent here."""
-        where = self.file.listen
-        self.log.info("ready", front=self.file.identity.name, address=where.address, port=where.port)
+    def announce_ready(self) -> None:
+        """Log and signal that viewers may be sent here; requests are answered even before that."""
+        listen_settings = self.file.listen
+        self.log.info(
+            "ready", front=self.file.identity.name, address=listen_settings.address, port=listen_settings.port
+        )
         self.ready.set()
 
-    def open_console(self, page: socket.socket) -> None:
-        from curlewhall.console.run import Console, read_token  # takes a while; many fronts have none
+    def open_console(self, console_sock: socket.socket) -> None:
+        """Serve the operators' console on `console_sock`."""
+        from curlewhall.console.run import (
+            Console,
+            read_token,
+        )  # slow to import, and many fronts have no console
 
-        self.console = Console(self, page, read_token(self.file.console.token_file))
+        self.console = Console(self, console_sock, read_token(self.file.console.token_file))
 
-    def owes(self) -> bool:
-        """Whether an answer is owed to somebody."""
+    def has_unanswered_requests(self) -> bool:
+        """Whether a viewer's request or a move still waits for its answer."""
         return bool(self.driver.moves.retrying) or any(
             not active_play.answered for active_play in self.driver.plays.values()
         )
 
-    def hurry(self) -> None:
-        """Danger: a stop that is to be short must still answer. What is under way is failed and ended."""
-        self.hurried = True
+    def hurry_stop(self) -> None:
+        """Shorten a stop: answer all open requests as failed, since even then each must get an answer."""
+        self.stop_hurried = True
         for active_play in list(self.driver.plays.values()):
             if not active_play.answered:
                 self.driver.deadline_passed(active_play)
 
     async def stop(self) -> None:
-        """Take nothing new, answer what was taken, give to peers what plays, then close.
+        """Accept no new play, answer open requests, transfer plays to peers, then close.
 
-        New plays get 503 with Retry-After meanwhile, over old connections and new ones.
+        Meanwhile requests for new plays get 503 with Retry-After, on old and on new connections.
         """
-        self.viewers.open = False
-        while self.owes():
+        self.viewers.accepting = False
+        while self.has_unanswered_requests():
             await asyncio.sleep(0.01)
-        if not self.hurried and (given := await Giving(self).all()):
-            self.log.info("given to peers", plays=given, left=len(self.driver.plays))
+        if not self.stop_hurried and (transferred := await PlayTransfer(self).transfer_all()):
+            self.log.info("plays transferred to peers", plays=transferred, left=len(self.driver.plays))
         if self.peers.members is not None:
             self.peers.members.leave()
         if self.server is not None:
             self.server.shut()
-            await asyncio.sleep(LAST)
+            await asyncio.sleep(CLOSE_DELAY_S)
             self.server.stop_when_empty()
-        await asyncio.sleep(LAST)
+        await asyncio.sleep(CLOSE_DELAY_S)
         self.close()
 
     def close(self) -> None:
-        """Close every socket and the state, whatever is under way."""
+        """Close every socket and the state at once."""
         self.follower.close()
         self.driver.sites.close()
-        for pool in self.fellows.values():
+        for pool in self.peer_pools.values():
             pool.close()
         self.nodes.close()
         if self.console is not None:
@@ -312,22 +340,27 @@
         self.driver.play_store.close()
 
 
-async def until_told(
-    file: FrontFile, log, make: Callable | None, mover: Callable | None, sites: Callable | None
+async def serve_until_signal(
+    file: FrontFile,
+    log,
+    create_module: Callable | None,
+    create_mover: Callable | None,
+    create_sites: Callable | None,
 ) -> None:
-    front = FrontProcess(file, log, make, mover, sites=sites)
-    told = asyncio.Event()
+    """Run a front until SIGTERM or SIGINT, then stop it."""
+    front = FrontProcess(file, log, create_module, create_mover, create_sites=create_sites)
+    stop_requested = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        front.loop.add_signal_handler(number, told.set)
+        front.loop.add_signal_handler(number, stop_requested.set)
     await front.start()
     tune_garbage_collector()
-    await told.wait()
+    await stop_requested.wait()
     log.info("stopping")
     await front.stop()
 
 
-def raise_descriptors() -> None:
-    """As many descriptors as this process may have."""
+def raise_descriptor_limit() -> None:
+    """Raise the soft limit of file descriptors to the hard limit."""
     with contextlib.suppress(ValueError, OSError):
         _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
@@ -336,14 +369,14 @@
 def run(
     file: FrontFile,
     log,
-    make: Callable | None = None,
-    mover: Callable | None = None,
-    sites: Callable | None = None,
+    create_module: Callable | None = None,
+    create_mover: Callable | None = None,
+    create_sites: Callable | None = None,
 ) -> None:
-    """Serve until SIGTERM or SIGINT. `OSError` where a socket or the state's folder can't be had."""
-    raise_descriptors()
+    """Serve until SIGTERM or SIGINT; `OSError` if a socket or the state folder can't be used."""
+    raise_descriptor_limit()
     try:
-        uvloop.run(until_told(file, log, make, mover, sites))
+        uvloop.run(serve_until_signal(file, log, create_module, create_mover, create_sites))
     except (StoreLockedError, NewerFormatError) as err:
         raise OSError(describe(err)) from None
     except KeyboardInterrupt:
--- a/curlewhall/front/sharing.py
+++ b/curlewhall/front/sharing.py
@@ -1,14 +1,14 @@
-"""Which peer a leaving front offers a play to, and whether a peer takes it. No I/O."""
+"""Rules for the transfer of plays to peers: which peer is asked first, who has a free seat. No I/O."""
 
 from zlib import crc32
 
 
-def takes(seats: int, held: int) -> bool:
-    """Whether a front that holds `held` plays of a title may take one more; 0 seats mean no cap."""
-    return not seats or held < seats
+def has_free_seat(seats: int, plays_held: int) -> bool:
+    """Whether a front that holds `plays_held` plays of a title may accept one more; 0 seats mean no limit."""
+    return not seats or plays_held < seats
 
 
-def order(play: str, peers: int) -> list[int]:
-    """In which order peers are offered a play: spread by its id, so that no peer is asked for all."""
-    first = crc32(play.encode()) % peers if peers else 0
-    return [(first + i) % peers for i in range(peers)]
+def peer_order(play: str, peer_count: int) -> list[int]:
+    """Return the peers in the order in which `play` is offered, which spreads plays evenly by their ids."""
+    first = crc32(play.encode()) % peer_count if peer_count else 0
+    return [(first + i) % peer_count for i in range(peer_count)]
--- a/curlewhall/logs.py
+++ b/curlewhall/logs.py
@@ -5,20 +5,23 @@
 
 import structlog
 
-FORMS = ("auto", "json", "text")
+LOG_FORMATS = ("auto", "json", "text")
 
 
-def make(form: str = "auto", level: str = "info", stream=None):
-    """A logger. `auto` is text on a terminal and JSON lines elsewhere."""
+def make_logger(log_format: str = "auto", level: str = "info", stream=None):
+    """Return a structlog logger that writes to `stream`, by default standard error.
+
+    `log_format`: one of `LOG_FORMATS`; `auto` is text on a terminal and JSON lines elsewhere.
+    """
     stream = stream or sys.stderr
-    text = form == "text" or form == "auto" and stream.isatty()
+    text = log_format == "text" or log_format == "auto" and stream.isatty()
     last = (
         [structlog.dev.ConsoleRenderer(colors=stream.isatty())]
         if text
         else [structlog.processors.dict_tracebacks, structlog.processors.JSONRenderer()]
     )
     return structlog.wrap_logger(
-        # one write for a line and its end: the processes of a daemon share one file
+        # Writes a line and its end in one call, since the processes of a daemon share one file.
         structlog.WriteLogger(stream),
         processors=[
             structlog.processors.add_log_level,
--- a/curlewhall/moves/run.py
+++ b/curlewhall/moves/run.py
@@ -165,7 +165,7 @@
             self.execute(self.mover.end_unconfirmed(self.driver.clock.now(), play))
             return
         self.driver.log.info("move started", play=play, node=active_play.node)
-        self.driver.nodes.end_surely(
+        self.driver.nodes.end_play_confirmed(
             active_play.node,
             play,
             active_play.playing_number + active_play.number_offset,
@@ -197,13 +197,15 @@
         gone.
         """
         driver = self.driver
-        info = driver.viewers.next_facts(previous.info)
+        info = driver.viewers.next_play_info(previous.info)
         now = driver.clock.now()
         product = driver.viewers.products[info.product][1]
         limit = (
-            previous.deadline if previous.moved_from else now + product["time_limit"] - driver.viewers.margin
+            previous.deadline
+            if previous.moved_from
+            else now + product["time_limit"] - driver.viewers.answer_margin
         )
         active_play = type(previous)(info, previous.title, None, limit, now)
         active_play.moved_from = play
-        driver.viewers.expect(play, active_play, previous)
+        driver.viewers.expect_viewer(play, active_play, previous)
         driver.accept_request(active_play, again=True, moved=True)
--- a/curlewhall/sites/run.py
+++ b/curlewhall/sites/run.py
@@ -242,15 +242,15 @@
             getattr(self, f"carry_{verb}")(*facts)
 
     def carry_ask(self, node: str) -> None:
-        self.nodes.look(node, ASK_LIMIT)
+        self.nodes.check_node(node, ASK_LIMIT)
 
     def carry_hide(self, nodes: list[str]) -> None:
-        self.follower.tell_module(
+        self.follower.update_module(
             [msgspec.structs.replace(self.rows[name], state="gone") for name in nodes if name in self.rows]
         )
 
     def carry_show(self, nodes: list[str]) -> None:
-        self.follower.tell_module([self.rows[name] for name in nodes if name in self.rows])
+        self.follower.update_module([self.rows[name] for name in nodes if name in self.rows])
 
     def carry_state(self, site: str, state: str, fleet: bool, why: str) -> None:
         say = self.log.info if state == WHOLE else self.log.warning
--- a/tests/console/test_console.py
+++ b/tests/console/test_console.py
@@ -59,7 +59,7 @@
         assert (
             '<dd id="held">4</dd>' in text
             and "No node drains" in text
-            and "http" not in text.replace(place.fronts[0].viewers.url, "")
+            and "http" not in text.replace(place.fronts[0].viewers.public_url, "")
         )  # no asset from outside
 
 
@@ -109,11 +109,11 @@
     async with watched(tmp_path, TwoDrawn) as place:
         message = await place.get("/drain", "POST", urlencode(given).encode(), **fields)
         assert message.status == status
-        assert place.fronts[0].follower.drained == ({"n000"} if status == 303 else set())
+        assert place.fronts[0].follower.drained_nodes == ({"n000"} if status == 303 else set())
         if status == 303:
             assert "n000" in place.fronts[0].driver.moves.progress()
             await place.get("/drain", "POST", urlencode(given | {"back": "1"}).encode(), **fields)
-            assert not place.fronts[0].follower.drained
+            assert not place.fronts[0].follower.drained_nodes
         assert (await place.get("/", "DELETE")).status == 405
 
 
--- a/tests/daemon/test_handover.py
+++ b/tests/daemon/test_handover.py
@@ -39,7 +39,7 @@
         return self
 
     def ready(self, coming):
-        log = logs.make("json", "info", open(self.place.folder / "new.log", "a"))  # noqa: SIM115
+        log = logs.make_logger("json", "info", open(self.place.folder / "new.log", "a"))  # noqa: SIM115
         self.new = FrontProcess(parse(settings(self.place.plan, 0)), log, self.policy, None, coming)
         self.place.fronts.append(self.new)
         self.task = self.old.loop.create_task(self.serve())
@@ -49,7 +49,9 @@
         self.coming.serving()
 
     async def served(self):
-        await until(lambda: self.leaving.served and all(n.greeted for n in self.new.nodes.nodes.values()))
+        await until(
+            lambda: self.leaving.served and all(n.hello_received for n in self.new.nodes.nodes.values())
+        )
         return self
 
     async def end(self):
@@ -176,7 +178,9 @@
             exchange.listening.close()
         front = place.fronts[0]
         await until(
-            lambda: all(node.stream is not None and node.greeted for node in front.nodes.nodes.values())
+            lambda: all(
+                node.stream is not None and node.hello_received for node in front.nodes.nodes.values()
+            )
         )
         message, _ = await place.ask(viewer="w", product="paid", title="clip-01")
         assert message.status == 200 and len(front.driver.plays) == 2
@@ -253,11 +257,11 @@
             ask = asyncio.ensure_future(place.ask(viewer="w", product="paid"))
             await until(lambda: any(h.pending for h in front.driver.plays.values()))  # noqa: B023
             stop = asyncio.ensure_future(front.stop())
-            await until(lambda: not front.viewers.open)  # noqa: B023
+            await until(lambda: not front.viewers.accepting)  # noqa: B023
             message, problem = await place.ask(viewer="new")
             assert message.status == 503 and message.headers["retry-after"]
             if hurried:
-                front.hurry()
+                front.hurry_stop()
             assert (await ask)[0].status == (502 if hurried else 200)
             await stop
             place.fronts.clear()
--- a/tests/front/deployment.py
+++ b/tests/front/deployment.py
@@ -1,4 +1,4 @@
-"""A small deployment for tests: stand-ins and fronts in one loop, met through their sockets."""
+"""A small deployment for tests: stand-ins and fronts in one event loop, connected by sockets."""
 
 import asyncio
 import contextlib
@@ -16,14 +16,14 @@
 from curlewhall.wire.http import request_bytes
 
 
-async def until(true):
-    """Wait until something has happened; the test's own limit ends a vain wait."""
-    while not true():
+async def until(condition):
+    """Poll until `condition()` is true; the time limit of the test ends a wait without success."""
+    while not condition():
         await asyncio.sleep(0.002)
 
 
 class Deployment:
-    """Nodes, a list service, one front; every title lies on every node unless told otherwise."""
+    """Nodes, a list service and one front; each node holds every title unless `changes` says otherwise."""
 
     def __init__(self, folder, nodes=3, fronts=1, **changes):
         self.folder, self.fronts = folder, []
@@ -43,22 +43,24 @@
 
     async def front(self, policy=None, index=0, old="", new=""):
         file = parse(settings(self.plan, index).replace(old, new))
-        log = logs.make("json", "info", open(self.folder / "front.log", "a"))  # noqa: SIM115
+        log = logs.make_logger("json", "info", open(self.folder / "front.log", "a"))  # noqa: SIM115
         front = FrontProcess(file, log, policy)
         await front.start()
-        await until(lambda: front.follower.version and all(n.greeted for n in front.nodes.nodes.values()))
+        await until(
+            lambda: front.follower.version and all(n.hello_received for n in front.nodes.nodes.values())
+        )
         self.fronts.append(front)
         where = self.plan["fronts"][index]
         self.pool = Pool(front.loop, front.timers, where["address"], where["port"])
         return front
 
-    def request(self, title="clip-00", **facts):
-        facts = {"product": "plain", "viewer": "v", "limit_ms": 3000} | facts
-        return request_bytes("GET", f"/play/{title}?{urlencode(facts)}", self.pool.host)
+    def request(self, title="clip-00", **changes):
+        params = {"product": "plain", "viewer": "v", "limit_ms": 3000} | changes
+        return request_bytes("GET", f"/play/{title}?{urlencode(params)}", self.pool.host)
 
-    async def ask(self, **facts):
-        """Status, problem document or plan, and all else of one answer."""
-        reply = await self.pool.fetch(self.request(**facts), 20)
+    async def ask(self, **args):
+        """Request a play; return the response and its manifest, or its problem document."""
+        reply = await self.pool.fetch(self.request(**args), 20)
         assert reply.ending == "ok", reply
         body = reply.message.body
         return reply.message, manifest.read(body) if reply.message.status == 200 else json.loads(body)
@@ -80,12 +82,12 @@
             self.fleet.fault(node, kind, value)
 
     async def kill(self, front):
-        """As kill -9 would: every socket closed, nothing said; the port is free after it."""
-        front.driver.dispatch = lambda *facts, **named: None
+        """Close every socket of a front without a message, as kill -9 would; its port is free afterwards."""
+        front.driver.dispatch = lambda *args, **kwargs: None
         front.close()
         self.fronts.remove(front)
         await until(lambda: front.server.sock.fileno() < 0)
-        await asyncio.sleep(0)  # the datagram socket is closed in the turn after
+        await asyncio.sleep(0)  # the datagram socket is closed in the next turn of the event loop
 
     async def close(self):
         for front in list(self.fronts):
@@ -100,8 +102,8 @@
 
 @contextlib.asynccontextmanager
 async def deployment(folder, policy=None, old="", new="", **more):
-    place = Deployment(folder, **more)
+    env = Deployment(folder, **more)
     try:
-        yield await place.open(policy, old=old, new=new)
+        yield await env.open(policy, old=old, new=new)
     finally:
-        await place.close()
+        await env.close()
--- a/tests/front/test_driver.py
+++ b/tests/front/test_driver.py
@@ -1,4 +1,4 @@
-"""The driver alone: a scripted module above, a scripted nodes' side below."""
+"""The driver alone, between a scripted module and scripted viewers' and nodes' sides."""
 
 import asyncio
 
@@ -12,16 +12,16 @@
 
 
 class Script:
-    """Stands for module, nodes' side and viewers' side: writes down what it is told, says what it is bid."""
+    """Test double for the module and for each side: records its calls and returns prepared results."""
 
     def __init__(self, *_):
-        self.calls, self.says = [], {}
+        self.calls, self.results = [], {}
 
     def __getattr__(self, name):
-        def called(*facts, **named):
-            self.calls.append((name, *facts))
-            said = self.says.get(name, ())
-            return said(*facts) if callable(said) else said
+        def called(*args, **kwargs):
+            self.calls.append((name, *args))
+            result = self.results.get(name, ())
+            return result(*args) if callable(result) else result
 
         return called
 
@@ -29,8 +29,8 @@
         return [call[0] for call in self.calls]
 
 
-class Out:
-    """An allocation that is out."""
+class SentAllocation:
+    """An allocation whose set-up was sent."""
 
     def __init__(self, done):
         self.done, self.withdraw = done, lambda: done("withdrawn")
@@ -39,10 +39,10 @@
 class Rig:
     def __init__(self, limit=300):
         self.module, self.nodes, self.viewers = Script(), Script(), Script()
-        log = logs.make("json", "error")
+        log = logs.make_logger("json", "error")
         self.driver = Driver(lambda *_: self.module, 1, {}, Timers(asyncio.get_running_loop()), log)
         self.driver.nodes, self.driver.viewers, self.driver.moves = self.nodes, self.viewers, Script()
-        self.nodes.says["set_up"] = lambda active_play, number, node, span: Out(
+        self.nodes.results["set_up"] = lambda active_play, number, node, span: SentAllocation(
             lambda how: self.driver.allocation_ended(active_play, number, node, how, 0.01, {})
         )
         self.active_play = ActivePlay(
@@ -54,7 +54,7 @@
         )
 
     def ask(self, *answers):
-        self.module.says["asked"] = answers
+        self.module.results["asked"] = answers
         self.driver.accept_request(self.active_play, again=False, moved=False)
 
 
@@ -62,7 +62,7 @@
 
 
 @looped
-async def test_what_follows_from_an_answer_waits_until_the_list_of_answers_is_done():
+async def test_call_caused_by_an_action_waits_until_the_remaining_actions_are_executed():
     rig = Rig()
     rig.ask(("rung", "p", 2), ALLOCATE, ("withdraw", "p", 0), ("log", "a"), ("probe", "n"))
     assert rig.nodes.names() == ["set_up", "end", "probe"]
@@ -75,9 +75,9 @@
     ("how", "ends"),
     [("late", 1), ("broken", 1), ("error", 1), ("full", 0), ("unreached", 0), ("not_sent", 0)],
 )
-async def test_what_may_have_run_is_ended_at_its_node_and_told_to_the_module(how, ends):
+async def test_allocation_that_may_have_run_is_ended_at_its_node_and_reported_to_the_module(how, ends):
     rig = Rig()
-    rig.module.says["ended"] = [("decline", "p", 0)]
+    rig.module.results["ended"] = [("decline", "p", 0)]
     rig.ask(ALLOCATE)
     rig.driver.allocation_ended(rig.active_play, 0, "n", how, 0.1, {})
     assert rig.nodes.names().count("end") == ends and rig.viewers.names() == ["decline"]
@@ -85,12 +85,12 @@
 
 
 @looped
-async def test_a_first_frame_is_one_answer_and_notes_follow_it():
+async def test_first_frame_gives_one_answer_and_its_report_becomes_notes():
     rig = Rig()
     rig.ask(ALLOCATE, ("rung", "p", 1))
     rig.driver.allocation_ended(rig.active_play, 0, "n", "ok", 0.1, {"link_asked": 0.5, "uplink_asked": 0.2})
     assert rig.module.names() == ["asked", "first_frame", "note", "note"] and rig.viewers.names() == ["play"]
-    rig.module.says["note"] = [("rung", "p", 0), ("fail", "p"), ("decline", "p", 9)]
+    rig.module.results["note"] = [("rung", "p", 0), ("fail", "p"), ("decline", "p", 9)]
     rig.driver.play_noted("p", "n", "delivered", 0.5)
     assert rig.nodes.calls[-1] == ("set_rung", "n", "p", 0, 0) and rig.viewers.names() == ["play"]
     rig.driver.play_ended("p", "ok")
@@ -99,16 +99,16 @@
 
 
 @looped
-async def test_the_answer_leaves_before_the_module_reckons_with_the_first_frame():
-    rig, heard = Rig(), []
-    rig.viewers.says["play"] = lambda *_: heard.append(list(rig.module.names()))
+async def test_viewer_is_answered_before_the_module_is_told_of_the_first_frame():
+    rig, module_calls = Rig(), []
+    rig.viewers.results["play"] = lambda *_: module_calls.append(list(rig.module.names()))
     rig.ask(ALLOCATE)
     rig.driver.allocation_ended(rig.active_play, 0, "n", "ok", 0.1, {})
-    assert heard == [["asked"]] and rig.module.names() == ["asked", "first_frame"]
+    assert module_calls == [["asked"]] and rig.module.names() == ["asked", "first_frame"]
 
 
 @looped
-async def test_a_module_that_says_nothing_is_answered_for_at_the_limit():
+async def test_play_without_a_module_action_is_failed_at_its_deadline():
     rig = Rig(limit=20)
     rig.ask()
     while not rig.viewers.names():
@@ -118,9 +118,9 @@
 
 
 @looped
-async def test_a_module_that_fails_costs_no_other_play():
+async def test_exception_of_the_module_is_counted_and_the_play_is_still_answered():
     rig = Rig(limit=20)
-    rig.module.says["asked"] = lambda *_: 1 / 0
+    rig.module.results["asked"] = lambda *_: 1 / 0
     rig.driver.accept_request(rig.active_play, again=False, moved=False)
     assert rig.driver.counts["faults"] == 1
     while not rig.viewers.names():
@@ -129,18 +129,18 @@
 
 
 @looped
-async def test_an_answer_that_can_not_be_carried_out_costs_no_other_answer_and_no_other_call():
+async def test_exception_in_an_action_drops_no_other_action_and_no_queued_call():
     rig = Rig()
     rig.peers = rig.driver.peers = Script()
-    rig.peers.says["send"] = lambda *_: 1 / 0
-    rig.nodes.says["probe"] = lambda node: rig.driver.dispatch("probed", node, "ok", 0, {})
+    rig.peers.results["send"] = lambda *_: 1 / 0
+    rig.nodes.results["probe"] = lambda node: rig.driver.dispatch("probed", node, "ok", 0, {})
     rig.ask(("probe", "n"), ("tell", None, b""), ALLOCATE)
     assert rig.nodes.names() == ["probe", "set_up"] and rig.driver.counts["faults"] == 1
     assert rig.module.names() == ["asked", "probed"] and not rig.driver.queued_calls
 
 
 @looped
-async def test_a_viewer_who_left_gets_no_answer_and_its_allocation_ends():
+async def test_viewer_that_hung_up_gets_no_answer_and_its_allocation_is_withdrawn():
     rig = Rig()
     rig.ask(ALLOCATE)
     rig.driver.viewer_left(rig.active_play)
@@ -150,9 +150,10 @@
 
 
 @looped
-async def test_a_first_frame_that_crosses_a_viewers_leaving_is_ended_at_the_node():
+async def test_first_frame_after_the_viewer_left_is_ended_at_the_node():
     rig = Rig()
-    rig.nodes.says["set_up"] = lambda *_: Script()  # its answer is already on its way
+    # A withdrawal has no effect on this allocation: the response is already on its way.
+    rig.nodes.results["set_up"] = lambda *_: Script()
     rig.ask(ALLOCATE)
     rig.driver.viewer_left(rig.active_play)
     rig.driver.allocation_ended(rig.active_play, 0, "n", "ok", 0.1, {})
@@ -160,11 +161,11 @@
 
 
 @looped
-async def test_a_moved_play_ends_at_its_node_and_may_come_again():
+async def test_moved_play_is_ended_at_its_node_and_reported_to_the_viewers_side():
     rig = Rig()
     rig.ask(ALLOCATE)
     rig.driver.allocation_ended(rig.active_play, 0, "n", "ok", 0.1, {})
-    rig.module.says["note"] = [("move", "p")]
+    rig.module.results["note"] = [("move", "p")]
     rig.driver.play_noted("p", "n", "delivered", 0.5)
     assert rig.nodes.calls[-1] == ("end", "n", "p", 0, "moved") and rig.viewers.names() == ["play", "moved"]
     assert rig.module.calls[-1][5] == "withdrawn" and not rig.driver.plays
--- a/tests/front/test_front_crossings.py
+++ b/tests/front/test_front_crossings.py
@@ -1,4 +1,4 @@
-"""The running front: what comes while a set-up waits for the disk or a connection, or between two lists."""
+"""Events that reach the front while a set-up waits for the disk or a connection, or between two lists."""
 
 import asyncio
 import socket
@@ -19,22 +19,22 @@
 ROW = NodeRow("n", 0, "z", "box", "serving", 1, 0)
 
 
-class Disk:
-    """A play store whose disk takes its time."""
+class SlowPlayStore:
+    """A play store whose writes finish only when the test says so."""
 
     def __init__(self):
         self.waiting = []
 
-    def record_allocation(self, active_play, number, node, paid, go):
-        self.waiting.append(go)
+    def record_allocation(self, active_play, number, node, paid, callback):
+        self.waiting.append(callback)
         return False
 
     def __getattr__(self, name):
-        return lambda *facts: True
+        return lambda *args: True
 
 
-class Here:
-    """A viewer's exchange, on a connection that may have been ended."""
+class FakeExchange:
+    """A viewer's exchange whose connection the test can end."""
 
     def __init__(self):
         self.ended = False
@@ -57,59 +57,61 @@
 
 @pytest.mark.parametrize("meanwhile", MEANWHILE)
 @looped
-async def test_what_comes_while_an_allocation_waits_for_the_disk(meanwhile):
+async def test_set_up_is_sent_after_the_disk_only_if_viewer_and_node_are_unchanged(meanwhile):
     rig = Rig(limit=3000)
-    rig.driver.play_store, rig.active_play.exchange = Disk(), Here()
+    rig.driver.play_store, rig.active_play.exchange = SlowPlayStore(), FakeExchange()
     rig.driver.update_nodes("whole", [ROW])
     rig.ask(ALLOCATE)
     MEANWHILE[meanwhile](rig)
-    for go in rig.driver.play_store.waiting:
-        go(True)
-    goes = meanwhile in ("nothing", "a list that tells the same")
-    assert rig.nodes.names().count("set_up") == goes
-    if not goes:
-        told = [call for call in rig.module.calls if call[0] == "ended"]
-        assert [call[2:6] for call in told] == [("p", 0, "n", "not_sent")]
+    for callback in rig.driver.play_store.waiting:
+        callback(True)
+    is_sent = meanwhile in ("nothing", "a list that tells the same")
+    assert rig.nodes.names().count("set_up") == is_sent
+    if not is_sent:
+        ended_calls = [call for call in rig.module.calls if call[0] == "ended"]
+        assert [call[2:6] for call in ended_calls] == [("p", 0, "n", "not_sent")]
     assert ("left" in rig.module.names()) == meanwhile.startswith("hung up")
 
 
 @pytest.mark.parametrize("meanwhile", ["hung up", "half-closed", "the node has started anew"])
 @looped
-async def test_what_comes_while_a_set_up_waits_for_its_connection(tmp_path, monkeypatch, meanwhile):
-    """The client's end lies in its socket, unread, as the connection comes up."""
-    async with deployment(tmp_path, TwoDrawn, nodes=1) as place:
-        front, take, gate, waiting = place.fronts[0], Pool.take, asyncio.Event(), []
+async def test_no_set_up_is_sent_if_the_viewer_left_or_the_node_restarted_while_connecting(
+    tmp_path, monkeypatch, meanwhile
+):
+    """The client's end of its connection is not read yet when the connection to the node is established."""
+    async with deployment(tmp_path, TwoDrawn, nodes=1) as env:
+        front, take, gate, waiting = env.fronts[0], Pool.take, asyncio.Event(), []
         (node,) = front.nodes.nodes.values()
 
-        async def slow(self):
+        async def delayed_take(self):
             waiting.append(self)
             await gate.wait()
             return await take(self)
 
-        monkeypatch.setattr(node.pool, "take", slow.__get__(node.pool))
-        where = place.plan["fronts"][0]
+        monkeypatch.setattr(node.pool, "take", delayed_take.__get__(node.pool))
+        where = env.plan["fronts"][0]
         client = socket.create_connection((where["address"], where["port"]))
-        client.sendall(place.request(product="paid"))
+        client.sendall(env.request(product="paid"))
         await until(lambda: waiting)
         if meanwhile == "the node has started anew":
             follower, now = front.follower, int(time.time() * 1000)
             change = msgspec.structs.replace(follower.rows[node.row.node], started_ms=now)
-            follower.line(Listing("changes", follower.version + 1, follower.version, [change]))
+            follower.handle_listing(Listing("changes", follower.version + 1, follower.version, [change]))
         elif meanwhile == "hung up":
             client.close()
         else:
             client.shutdown(socket.SHUT_WR)
         gate.set()
         await until(lambda: not any(active_play.pending for active_play in front.driver.plays.values()))
-        assert not place.rows("setup")
+        assert not env.rows("setup")
         client.close()
 
 
-def test_a_start_that_is_told_again_is_the_same_start(monkeypatch):
-    """Both clocks go on between two lists, not in step; and the machine's own is set anew in between."""
+def test_node_start_repeated_in_a_later_list_converts_to_the_same_tick(monkeypatch):
+    """Both clocks advance between two lists at different rates, and the wall clock is set to another time."""
     rig = Rig.__new__(Rig)
-    asyncio.run(made(rig))
-    # The driver's clock never goes back, and this machine may have run for long: a whole second ahead of it
+    asyncio.run(initialize(rig))
+    # The driver's clock never goes back, so the fake time has to start ahead of this machine's own clock.
     driver, unix, now = rig.driver, [1_700_000_000_000_000_000], [time.monotonic() // 1 + 2]
     monkeypatch.setattr(time, "time_ns", lambda: unix[0])
     driver.clock.source = lambda: now[0]
@@ -124,5 +126,5 @@
     assert first < later <= driver.clock.now()
 
 
-async def made(rig):
+async def initialize(rig):
     rig.__init__()
--- a/tests/front/test_front_process.py
+++ b/tests/front/test_front_process.py
@@ -1,4 +1,4 @@
-"""A running front as a process, at the system's own limit of descriptors."""
+"""A front process at its limit of file descriptors."""
 
 import asyncio
 import resource
@@ -23,18 +23,19 @@
 
 @pytest.mark.parametrize("says", IDLE)
 @looped
-async def test_idle_clients_fill_the_descriptors_while_the_list_is_down(tmp_path, says):
-    """Three times as many as there are descriptors, and they come again as the list comes back: it is
-    followed, nodes are reached, and viewers are served all the while.
+async def test_front_serves_and_follows_the_list_while_idle_clients_use_up_its_descriptors(tmp_path, says):
+    """Three times as many idle clients as descriptors connect, and reconnect when the list service is back.
+
+    The front must still follow the list, reach its nodes and serve viewers.
     """
-    place = Deployment(tmp_path)
-    place.plan["rules"]["warm_within"] = 0.01  # no node counts as cold for long
-    place.plan["rung_kb"] = [kb // 20 for kb in place.plan["rung_kb"]]  # all that ask find room
-    place.fleet = fleet = Fleet(place.plan)
+    env = Deployment(tmp_path)
+    env.plan["rules"]["warm_within"] = 0.01  # nodes are cold only briefly
+    env.plan["rung_kb"] = [kb // 20 for kb in env.plan["rung_kb"]]  # there is room for every play
+    env.fleet = fleet = Fleet(env.plan)
     await fleet.start()
     file, log = tmp_path / "front.textproto", tmp_path / "front.log"
-    file.write_text(settings(place.plan, 0))
-    front = place.plan["fronts"][0]
+    file.write_text(settings(env.plan, 0))
+    front = env.plan["fronts"][0]
     where = front["address"], front["port"]
     crowd, loop = IdleClients(where, IDLE[says], 3 * DESCRIPTORS), asyncio.get_running_loop()
     timers, drained = Timers(loop), next(iter(fleet.nodes))
@@ -47,8 +48,8 @@
         )
 
     async def served(count):
-        """Viewers come and ask, after the crowd each; the nodes that their plays went to."""
-        before = len(place.rows("setup"))
+        """Request `count` plays, each after refilling the idle clients; return the nodes of the plays."""
+        before = len(env.rows("setup"))
         for _ in range(count):
             await crowd.fill()
             pool = Pool(loop, timers, *where)
@@ -56,7 +57,7 @@
             reply = await pool.fetch(request_bytes("GET", f"/play/clip-00?{facts}", pool.host), 20)
             pool.close()
             assert reply.ending == "ok" and reply.message.status == 200, reply
-        return {row["at"] for row in place.rows("setup")[before:]}
+        return {row["at"] for row in env.rows("setup")[before:]}
 
     try:
         await until(lambda: b'"ready"' in log.read_bytes())
@@ -74,5 +75,5 @@
         crowd.close()
         process.send_signal(signal.SIGTERM)
         code = await asyncio.to_thread(process.wait, 20)
-        await place.close()
+        await env.close()
     assert code == 0 and b"Traceback" not in log.read_bytes()
--- a/tests/members/test_members.py
+++ b/tests/members/test_members.py
@@ -390,7 +390,7 @@
         where = {0: place.plan["relay"]["fronts"]["0"], 1: place.plan["relay"]["fronts"]["1"]}
         for front in place.fronts:
             front.peers.addresses = {i: tuple(a) for i, a in where.items() if i != front.file.identity.index}
-            front.peers.by_address = {address: i for i, address in front.peers.addresses.items()}
+            front.peers.index_by_address = {address: i for i, address in front.peers.addresses.items()}
         one.start()
         await until(lambda: one.members.count() == other.members.count() == 2)
         assert place.fronts[0].viewers.state()["members"]["peers"] == {1: "alive"}
--- a/tests/recovery/test_kept.py
+++ b/tests/recovery/test_kept.py
@@ -45,7 +45,7 @@
             async with asyncio.timeout(0.5):  # the frozen node's event stream never sends its first event
                 await place.front(TwoDrawn)
         message, problem = await place.ask(product="paid", viewer="one", again=1)
-        assert message.status == 502 and "has not said yet" in problem["detail"]
+        assert message.status == 502 and "has not reported yet" in problem["detail"]
         assert (await place.ask(product="plain", viewer="other"))[0].status == 200
         place.fault("freeze", 0, nodes=[node])
 
@@ -72,9 +72,9 @@
 async def test_node_reconnecting_during_a_set_up_does_not_end_it_in_the_state(tmp_path, monkeypatch):
     async with deployment(tmp_path, TwoDrawn, nodes=1, durability="strict", setup_ms=[2000, 2000]) as place:
         front, greeted = place.fronts[0], []
-        hello = front.nodes.hello
+        hello = front.nodes.handle_hello
         monkeypatch.setattr(
-            front.nodes, "hello", lambda *arguments: (hello(*arguments), greeted.append(arguments))
+            front.nodes, "handle_hello", lambda *arguments: (hello(*arguments), greeted.append(arguments))
         )
         request = asyncio.ensure_future(place.ask(product="paid", viewer="one"))
         await until(lambda: place.rows("setup"))
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -271,7 +271,7 @@
 async def test_entries_of_a_turn_share_a_commit_and_a_full_disk_is_reported_and_recovered_from(tmp_path):
     loop = asyncio.get_running_loop()
     disk = MemoryDisk()
-    store = Store(open_folder(tmp_path, disk), loop, Timers(loop), logs.make("json", "critical"))
+    store = Store(open_folder(tmp_path, disk), loop, Timers(loop), logs.make_logger("json", "critical"))
     results = asyncio.Queue()
     for entry in SAMPLE:
         store.add(entry, results.put_nowait)
@@ -310,7 +310,7 @@
 @contextlib.asynccontextmanager
 async def store_on_blocking_disk(tmp_path):
     loop, disk = asyncio.get_running_loop(), BlockingDisk()
-    store = Store(open_folder(tmp_path, disk), loop, Timers(loop), logs.make("json", "critical"))
+    store = Store(open_folder(tmp_path, disk), loop, Timers(loop), logs.make_logger("json", "critical"))
     store.results = asyncio.Queue()
     disk.callers.clear()
     try:
--- a/tests/sites/test_sites_fleet.py
+++ b/tests/sites/test_sites_fleet.py
@@ -153,7 +153,7 @@
         place.fleet.fault("link:*>site:north", "reset", 0)  # connections break, and none comes up again
         await until(lambda: place.state() == LOST)
         waits = [n for n in place.fronts[0].nodes.nodes.values() if n.row.node in north]
-        await until(lambda: all(n.waits.last > 0.5 for n in waits))  # each was tried in vain
+        await until(lambda: all(n.retry_delays.last > 0.5 for n in waits))  # each was tried in vain
         assert held <= driver.plays.keys()
         for way in ("link:*>site:north", "link:site:north>*"):
             place.fleet.fault(way, "cut", 0)
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -71,7 +71,7 @@
     assert errors.describe(err) == err.full_message and errors.describe(OSError("x")) == "x"
 
 
-@pytest.mark.parametrize("status", problems.KINDS)
+@pytest.mark.parametrize("status", problems.PROBLEM_TYPES)
 def test_problem_document_holds_remedy(status):
     import json
 
