--- a/curlewhall/console/run.py
+++ b/curlewhall/console/run.py
@@ -219,7 +219,7 @@
         else:
             back = fields.get("back", "") == "1"
             self.front.log.info("drain requested at the console", node=fields["node"], back=back)
-            self.front.follower.drain(fields["node"], back=back)
+            self.front.follower.drain_node(fields["node"], back=back)
             exchange.reply(303, SECURITY_HEADERS | {"location": "/"})
 
     # ---- event stream
