--- a/bench/fuzz_forms.py
+++ b/bench/fuzz_forms.py
@@ -14,7 +14,7 @@
 with atheris.instrument_imports(include=["curlewhall.inventory", "curlewhall.members"]):
     from curlewhall.inventory import InventoryError, csvform, yamlform
     from curlewhall.inventory.form import text_of
-    from curlewhall.members import form
+    from curlewhall.members import datagram
 
 HEAD = "host,address,port,place,zone,kind,weight,state\n"
 LINE = "media-07.example.org,10.0.0.7,8400,6,north,box,1.0,serving\n"
@@ -44,13 +44,16 @@
 
 
 def members(data: bytes) -> None:
-    for body in (data, form.HEAD.pack(form.MAGIC, form.VERSION << 4 | 1, 1, 2, 3, 4, 5, 6, 7, 1) + data):
-        for whole in (body, body + form.sign(body, KEY)):
+    for body in (
+        data,
+        datagram.HEADER.pack(datagram.MAGIC, datagram.VERSION << 4 | 1, 1, 2, 3, 4, 5, 6, 7, 1) + data,
+    ):
+        for whole in (body, body + datagram.sign(body, KEY)):
             try:
-                found = form.decode(whole, [KEY])
-            except form.DatagramError:
+                found = datagram.decode(whole, [KEY])
+            except datagram.DatagramError:
                 continue
-            assert form.encode(found, KEY) == whole
+            assert datagram.encode(found, KEY) == whole
 
 
 if __name__ == "__main__":
--- a/bench/members.py
+++ b/bench/members.py
@@ -1,4 +1,4 @@
-"""Membership of many fronts in simulated time: the decisions alone, a virtual clock, lossy links.
+"""Simulation of the membership protocol with many fronts: no sockets, a virtual clock, lossy links.
 
     python bench/members.py [--fronts 210] [--minutes 10] [--out bench/results/members]
 
@@ -13,8 +13,8 @@
 from itertools import count
 from pathlib import Path
 
-from curlewhall.members.decide import Members
-from curlewhall.members.form import ALIVE, DEAD, HASH, HEAD, ROW, SUSPECT
+from curlewhall.members.datagram import ALIVE, DEAD, HASH_BYTES, HEADER, ROW, SUSPECT
+from curlewhall.members.decide import MembershipProtocol
 
 SECOND = 10_000
 
@@ -25,12 +25,14 @@
     def __init__(self, fronts: int, loss: float, seed: int) -> None:
         self.rng, self.loss, self.now = random.Random(seed), loss, 0
         self.heap, self.order = [], count()
-        self.fronts = {i: Members(0, i, [j for j in range(fronts) if j != i], seed) for i in range(fronts)}
+        self.fronts = {
+            i: MembershipProtocol(0, i, [j for j in range(fronts) if j != i], seed) for i in range(fronts)
+        }
         self.dead: set[int] = set()
         self.bytes = self.false_dead = self.false_suspects = 0
         self.cut: set[int] = set()  # one side of a partition
         for i, front in self.fronts.items():
-            self.carry(i, front.begin(0))
+            self.carry(i, front.start(0))
 
     def at(self, span: int, call, *facts) -> None:
         heapq.heappush(self.heap, (self.now + span, next(self.order), call, facts))
@@ -42,7 +44,7 @@
                 self.at(facts[0], self.wake, i, front)
             elif verb == "send":
                 to, kind, nonce, target, rows = facts
-                self.bytes += HEAD.size + HASH + len(rows) * ROW.size
+                self.bytes += HEADER.size + HASH_BYTES + len(rows) * ROW.size
                 if self.rng.random() >= self.loss and (i in self.cut) == (to in self.cut):
                     self.at(
                         self.rng.randint(2, 200),
@@ -67,7 +69,8 @@
         sender, kind, nonce, incarnation, target, rows = facts
         if to not in self.dead:
             self.carry(
-                to, self.fronts[to].heard(self.now, sender, kind, nonce, incarnation, 10, target, rows)
+                to,
+                self.fronts[to].handle_datagram(self.now, sender, kind, nonce, incarnation, 10, target, rows),
             )
 
     def run(self, until: int, true=None) -> int | None:
@@ -87,13 +90,15 @@
         return [front for i, front in self.fronts.items() if i not in self.dead]
 
     def all_hold(self, index: int, states: tuple[int, ...]) -> bool:
-        return all(front.members[index].state in states for front in self.living() if front.me != index)
+        return all(
+            front.members[index].state in states for front in self.living() if front.own_index != index
+        )
 
 
 class Beats(World):
     """The plain way: each tells all once a second that it lives; five missed in a row are a death."""
 
-    SIZE = HEAD.size + HASH
+    SIZE = HEADER.size + HASH_BYTES
 
     def __init__(self, fronts: int, loss: float, seed: int) -> None:
         self.rng, self.loss, self.now, self.n = random.Random(seed), loss, 0, fronts
@@ -117,7 +122,7 @@
 def measure(asked: tuple[int, float, float, int]) -> list[str]:
     fronts, loss, minutes, seed = asked
     world = World(fronts, loss, seed)
-    met = world.run(600 * SECOND, lambda: all(f.count() == fronts for f in world.living()))
+    met = world.run(600 * SECOND, lambda: all(f.member_count() == fronts for f in world.living()))
     world.run(world.now + 30 * SECOND)
     world.bytes = world.false_dead = world.false_suspects = 0
     began = world.now
@@ -134,15 +139,17 @@
         deaths.append((known - died) / SECOND if known else float("inf"))
     victim = 3
     world.dead.discard(victim)
-    world.fronts[victim] = Members(world.now, victim, [j for j in range(fronts) if j != victim], seed + 1)
+    world.fronts[victim] = MembershipProtocol(
+        world.now, victim, [j for j in range(fronts) if j != victim], seed + 1
+    )
     born = world.now
-    world.carry(victim, world.fronts[victim].begin(world.now))
+    world.carry(victim, world.fronts[victim].start(world.now))
     joined = world.run(born + 600 * SECOND, lambda: world.all_hold(victim, (ALIVE, SUSPECT)))
     world.cut = set(range(fronts // 2))
     world.run(world.now + 60 * SECOND)
     world.cut, healed = set(), world.now
     alive = world.living()
-    whole = world.run(healed + 600 * SECOND, lambda: all(f.count() == len(alive) for f in alive))
+    whole = world.run(healed + 600 * SECOND, lambda: all(f.member_count() == len(alive) for f in alive))
     beats = Beats(fronts, loss, seed).hour(minutes)
     return [
         f"{loss:.0%}",
--- a/bench/sites_sim.py
+++ b/bench/sites_sim.py
@@ -27,7 +27,7 @@
 from curlewhall.relay.null_objects import NoMoves
 from curlewhall.settings import parse, start_settings
 from curlewhall.sites.null_objects import NoSites
-from curlewhall.sites.run import Watch, number
+from curlewhall.sites.run import SiteMonitor, site_number
 from curlewhall.standins.model import Machine, Rack, unit
 from curlewhall.wire import forms
 
@@ -160,8 +160,8 @@
                 for node in gone:
                     front.driver.sites.node_contact(node.name, "refused")
                 for peer in [p for p in range(len(self.fronts)) if p != front.index][:2]:
-                    front.driver.sites.told(
-                        peer, (SimpleNamespace(index=number(zone), state=1, incarnation=0),)
+                    front.driver.sites.handle_peer_report(
+                        peer, (SimpleNamespace(index=site_number(zone), state=1, incarnation=0),)
                     )
 
     def restore(self, zone):
@@ -296,9 +296,9 @@
         others = [i for i in range(fronts) if i != index]
         self.members = (
             SimpleNamespace(
-                members=SimpleNamespace(members=dict.fromkeys(others), living=lambda: others),
-                words=None,
-                word=self.word,
+                protocol=SimpleNamespace(members=dict.fromkeys(others), live_members=lambda: others),
+                on_extension=None,
+                send_extension=self.word,
             )
             if world.variant != "alone"
             else None
@@ -320,7 +320,9 @@
         self.world.words[int(self.world.at), self.index] += 41 + 7 * len(rows)
         if self.world.rng.random() >= LOST_WORDS:
             there = self.world.fronts[peer]
-            self.world.after(self.world.rng.uniform(0.001, 0.02), there.driver.sites.told, self.index, rows)
+            self.world.after(
+                self.world.rng.uniform(0.001, 0.02), there.driver.sites.handle_peer_report, self.index, rows
+            )
 
     # ---- viewers' side
 
@@ -448,11 +450,11 @@
         return name
 
 
-class Seen(Watch):
+class Seen(SiteMonitor):
     """Tells the world when a plan is in force."""
 
-    def carry_state(self, site, state, fleet, why):
-        super().carry_state(site, state, fleet, why)
+    def execute_state(self, site, state, fleet_wide, reason):
+        super().execute_state(site, state, fleet_wide, reason)
         if state == "lost":
             self.driver.viewers.world.planned.setdefault(
                 self.driver.viewers.index, self.driver.viewers.world.at
--- a/curlewhall/drills/breakers.py
+++ b/curlewhall/drills/breakers.py
@@ -5,7 +5,7 @@
 import time
 
 from curlewhall.policy import PASS, TICKS_PER_SECOND, Front
-from curlewhall.sites.decide import Sites
+from curlewhall.sites.decide import SiteDetector
 from curlewhall.sites.state import LOST
 
 
@@ -108,7 +108,7 @@
         return [*said, ("withdraw", play, 0)] if pure and said and said[-1][0] == "allocate" else said
 
 
-class Alarmist(Sites):
+class Alarmist(SiteDetector):
     """Declares a site lost without evidence, for the whole fleet, and takes nothing of it back."""
 
     def wake(self, now):
@@ -118,6 +118,6 @@
             hidden = [node.name for node in site.nodes.values()]
             for node in site.nodes.values():
                 node.hidden = True
-            site.hold, site.lost_at, site.fleet = 1 << 40, now, True
-            said += [*self.become(now, site, LOST, "a feeling"), ("hide", hidden)]
+            site.hold_ticks, site.lost_at, site.fleet_wide = 1 << 40, now, True
+            said += [*self.set_state(now, site, LOST, "a feeling"), ("hide", hidden)]
         return said
--- a/curlewhall/front/peers.py
+++ b/curlewhall/front/peers.py
@@ -22,7 +22,7 @@
 
     def datagram_received(self, data: bytes, source) -> None:
         index = self.by_address.get((source[0], source[1]))
-        if index is not None and self.members is not None and self.members.heard(data):
+        if index is not None and self.members is not None and self.members.handle_datagram(data):
             self.heard[index] = self.driver.clock.now()
             return
         if index is not None and len(data) <= MOST:
--- a/curlewhall/front/serve.py
+++ b/curlewhall/front/serve.py
@@ -25,8 +25,8 @@
 from curlewhall.settings import start_settings
 from curlewhall.settings.front_pb2 import STRICT, FrontFile
 from curlewhall.settings.keys import read_keys
-from curlewhall.sites.decide import Sites
-from curlewhall.sites.run import Watch
+from curlewhall.sites.decide import SiteDetector
+from curlewhall.sites.run import SiteMonitor
 from curlewhall.start import Turns
 from curlewhall.wire.client import Pool
 from curlewhall.wire.http import Limits
@@ -156,8 +156,8 @@
         self.viewers.lender = Lender(self.follower, key)
         if service is not None and self.fellows:
             self.follower.borrower = Borrower(self.follower, self.fellows, key, seed)
-        self.driver.sites = Watch(
-            self, file.identity.index, seed, lambda: self.viewers.titles, sites or Sites
+        self.driver.sites = SiteMonitor(
+            self, file.identity.index, seed, lambda: self.viewers.titles, sites or SiteDetector
         )
         self.open_store()
         drain_within = 10 * (file.moves.drain_within_ms or 30_000)
--- a/curlewhall/members/__init__.py
+++ b/curlewhall/members/__init__.py
@@ -1,9 +1,9 @@
-"""Who shares the fleet: membership among fronts over lossy datagrams of at most 256 bytes.
+"""Membership among fronts over lossy datagrams of at most 256 bytes: which fronts share the fleet.
 
-`decide` is the protocol (no I/O, no clock), `form` the bytes with their keyed hash, `run` joins it to the
-front's UDP socket. See `docs/members/design.md`.
+`decide` is the gossip and failure-detection protocol (no I/O, no clock), `datagram` the binary encoding and
+its keyed hash, and `run` connects both to the front's UDP socket, clock and timers.
 """
 
-from .decide import Members
+from .decide import MembershipProtocol
 
-__all__ = ["Members"]
+__all__ = ["MembershipProtocol"]
--- a/curlewhall/members/decide.py
+++ b/curlewhall/members/decide.py
@@ -1,117 +1,136 @@
-"""Who is there: failure detection in the manner of SWIM (Das, Gupta, Motivala, DSN 2002). No I/O, no clock.
+"""Failure detection and gossip among fronts, in the manner of SWIM (Das, Gupta, Motivala, DSN 2002).
 
-Called once for each thing that happens, `now` in tenths of a millisecond; answers are tuples:
+No I/O and no clock: `run` calls a method for each event with `now` in ticks (tenths of a millisecond) and
+executes the returned actions, which are tuples:
 
-- `("send", index, kind, nonce, target, rows)`: a datagram to a member.
-- `("wake", span)`: call `wake` then.
-- `("changed", index, state)`: what is held of a member has changed.
-- `("say", text)`: for the people on call.
+- `("send", index, kind, nonce, target, rows)`: send a datagram to a member.
+- `("wake", delay)`: call `wake` after that many ticks.
+- `("changed", index, state)`: the state of a member has changed.
+- `("log", text)`: write a warning to the log.
 
-Each period one member is pinged, in a shuffled order that meets all. One that does not answer is asked for
-through others, then suspected; a suspect that does not speak up in time is dead. What changed travels along
-with pings and acks, each change so many times as it takes to reach everybody; slices of the whole table go
-beside, for what was lost all the same.
+Each period one member is pinged, in a shuffled order that reaches all of them. A member that doesn't
+acknowledge is pinged through others, then suspected; a suspect that doesn't refute this in time is declared
+dead. Changes are piggybacked on pings and acks, each often enough to reach every member. Slices of the whole
+table are sent regularly as well, for updates that were lost all the same.
 
-Danger: a front that stood still for a minute wakes with every answer overdue. It believes nothing of what it
-missed: it asks first, and says that it lives.
+A front that was paused for a minute finds every ack overdue when it resumes. It must not declare the others
+dead for acks that it could not receive: it discards its pending pings, pings again and announces that it is
+alive.
 """
 
 from zlib import crc32
 
-from .form import (
+from .datagram import (
     ACK,
     ALIVE,
-    ASK,
     DEAD,
     LEAVE,
     LEFT,
-    MOST_ROWS,
-    NOBODY,
+    MAX_ROWS,
+    NO_TARGET,
     PING,
+    PING_REQUEST,
     SUSPECT,
     SYNC,
     Row,
-    following,
-    newer,
+    is_newer,
+    next_incarnation,
 )
 
-SECOND = 10_000
-PERIOD = SECOND  # two datagrams a second and front when all is well; a death is found within a few periods
-ANSWER = 3 * SECOND // 10  # for a ping; fronts answer within a few milliseconds, busy ones within a hundred
-TRY = 3 * ANSWER  # pings go on for so long, straight and by helpers, before one that is silent is suspected
-HELPERS = 3  # asked to ping for one; at 30% loss a path of four legs fails in 76%, all three in 44%
-PATIENCE = 5 * PERIOD // 4  # times log2(members): for a suspect to hear of it and speak up; 10 s at 210
-SPREAD = 4  # times log2(members) that a change is sent along
-STILL = 4 * PERIOD  # without a wake for so long, this front stood still
-BACK = 10  # every so many periods one that is held dead is pinged as well: a partition heals by that
-SYNCS = 8  # periods between two slices of the whole table
+TICKS_PER_SECOND = 10_000
+# Ticks. One ping and one ack a second per front when all is well; a death is found within a few periods.
+PERIOD = TICKS_PER_SECOND
+ACK_TIMEOUT = 3 * TICKS_PER_SECOND // 10  # fronts answer within a few milliseconds, busy ones within 100 ms
+SUSPECT_AFTER = 3 * ACK_TIMEOUT  # direct and indirect pings go on for so long before a member is suspected
+HELPER_COUNT = 3  # members asked for an indirect ping; at 30% loss one 4-hop path fails in 76%, all in 44%
+# Ticks, times log2(members): time for a suspect to learn of it and refute it; 10 s with 210 fronts.
+SUSPICION_TIMEOUT = 5 * PERIOD // 4
+UPDATE_REPEATS = 4  # times log2(members): how often each change is piggybacked
+PAUSE_THRESHOLD = 4 * PERIOD  # ticks without a wake after which this process must have been paused
+DEAD_PING_PERIODS = 10  # every so many periods a dead member is pinged as well, to heal partitions
+SYNC_PERIODS = 8  # periods between two slices of the whole table
 
 
 class Member:
-    """What is held of one."""
+    """What this front knows of one other front. Times are ticks."""
 
-    __slots__ = ("index", "state", "incarnation", "load", "since", "heard", "until")
+    __slots__ = ("index", "state", "incarnation", "load", "since", "heard_at", "dead_at")
 
     def __init__(self, index: int, now: int, state: int) -> None:
-        self.index, self.state, self.incarnation, self.load = index, state, 0, 0
-        self.since, self.heard, self.until = now, now, 0
-
-
-class Members:
-    """One front's view. `peers`: all indices that there may be, its own left out."""
-
-    def __init__(self, now: int, me: int, peers: list[int], seed: int) -> None:
-        self.me, self.seed, self.draws = me, seed, 0
-        # Danger: a peer that never spoke is not known to live; the module would share the fleet with nobody.
+        self.index = index
+        self.state = state
+        self.incarnation = 0
+        self.load = 0  # plays, as it last announced
+        self.since = now  # of its state
+        self.heard_at = now
+        self.dead_at = 0  # when a suspect is declared dead
+
+
+class MembershipProtocol:
+    """One front's view of the membership.
+
+    `peers` are the indices of all other fronts that may exist; `seed` makes the random choices repeatable.
+    """
+
+    def __init__(self, now: int, own_index: int, peers: list[int], seed: int) -> None:
+        self.own_index = own_index
+        self.seed = seed
+        self.draw_count = 0
+        # Peers start as dead: a peer that never answered may not exist, and counting it would give this front
+        # too small a share of the fleet.
         self.members = {index: Member(index, now, DEAD) for index in peers}
-        self.incarnation, self.load = 1, 0
-        self.order: list[int] = []
-        self.round, self.woken = 0, now
-        self.pings: dict[int, tuple[int, int, int]] = {}  # nonce -> target, when it is overdue, for whom
-        self.asked: dict[int, tuple[int, int]] = {}  # target -> since when it owes an answer, when suspected
-        self.news: dict[int, int] = {}  # index -> how often its row was sent along
-        self.next = now + self.chance(PERIOD)
-
-    # ---- what happens
-
-    def begin(self, now: int):
-        """Ask everybody once, a few at a time in the first period."""
-        out = [self.ping(now, index) for index in self.shuffled(list(self.members))[:32]]
-        return [*out, ("wake", max(1, self.next - now))]
+        self.incarnation = 1
+        self.load = 0
+        self.probe_order: list[int] = []
+        self.period_count = 0
+        self.last_wake = now
+        self.pending_pings: dict[int, tuple[int, int, int]] = {}  # nonce -> target, deadline, requester
+        self.missing_acks: dict[int, tuple[int, int]] = {}  # target -> missing since, suspected at
+        self.updates: dict[int, int] = {}  # index of a changed row -> how often it was piggybacked
+        self.next_period = now + self.random_below(PERIOD)
+
+    # ---- events
+
+    def start(self, now: int):
+        """Ping up to 32 members at once to find out who is alive."""
+        actions = [self.ping(now, index) for index in self.shuffled(list(self.members))[:32]]
+        return [*actions, ("wake", max(1, self.next_period - now))]
 
     def wake(self, now: int):
-        """A wake asked for earlier is due."""
-        out = []
-        if now - self.woken > STILL:
-            # stood still: nobody is overdue for an answer that was not waited for
-            self.pings.clear()
-            self.asked.clear()
+        """Handle everything that is due: missing acks, suspicions, the next period."""
+        actions = []
+        if now - self.last_wake > PAUSE_THRESHOLD:
+            # The process was paused: acks may have been lost that nobody could receive.
+            self.pending_pings.clear()
+            self.missing_acks.clear()
             for member in self.members.values():
                 if member.state == SUSPECT:
-                    member.until = now + self.patience()
-            self.incarnation = following(self.incarnation)
-            self.tell(self.me)
-            out.append(("say", "stood still; asking who is there before anything is believed"))
-            out += [self.ping(now, index) for index in self.shuffled(self.living())[:HELPERS]]
-        self.woken = now
-        for nonce, (target, due, whom) in list(self.pings.items()):
-            if now >= due:
-                del self.pings[nonce]
-                if whom == self.me:
-                    out += self.silent(now, target)
-        for target, (_, due) in list(self.asked.items()):
-            if now >= due:
-                del self.asked[target]
+                    member.dead_at = now + self.suspicion_timeout()
+            self.incarnation = next_incarnation(self.incarnation)
+            self.queue_update(self.own_index)
+            actions.append(
+                ("log", "this front was paused; pinging members before declaring any of them dead")
+            )
+            actions += [self.ping(now, index) for index in self.shuffled(self.live_members())[:HELPER_COUNT]]
+        self.last_wake = now
+        for nonce, (target, deadline, requester) in list(self.pending_pings.items()):
+            if now >= deadline:
+                del self.pending_pings[nonce]
+                if requester == self.own_index:
+                    actions += self.ping_timed_out(now, target)
+        for target, (_, suspect_at) in list(self.missing_acks.items()):
+            if now >= suspect_at:
+                del self.missing_acks[target]
                 if target in self.members and self.members[target].state == ALIVE:
-                    out += self.become(now, target, SUSPECT, self.members[target].incarnation)
+                    actions += self.set_state(now, target, SUSPECT, self.members[target].incarnation)
         for member in list(self.members.values()):
-            if member.state == SUSPECT and now >= member.until:
-                out += self.become(now, member.index, DEAD, member.incarnation)
-        if now >= self.next:
-            out += self.period(now)
-        return [*out, ("wake", self.due(now))]
+            if member.state == SUSPECT and now >= member.dead_at:
+                actions += self.set_state(now, member.index, DEAD, member.incarnation)
+        if now >= self.next_period:
+            actions += self.run_period(now)
+        return [*actions, ("wake", self.next_wake_delay(now))]
 
-    def heard(
+    def handle_datagram(
         self,
         now: int,
         sender: int,
@@ -122,186 +141,215 @@
         target: int,
         rows: tuple[Row, ...],
     ):
-        """A member's datagram, of its present life."""
+        """Process a datagram of a member's current instance."""
         member = self.members.get(sender)
         if member is None:
             return []
-        member.heard, member.load = now, load
-        self.asked.pop(sender, None)
-        out = list(self.learn(now, Row(sender, LEFT if kind == LEAVE else ALIVE, incarnation), direct=True))
+        member.heard_at = now
+        member.load = load
+        self.missing_acks.pop(sender, None)
+        actions = list(
+            self.merge(now, Row(sender, LEFT if kind == LEAVE else ALIVE, incarnation), direct=True)
+        )
         for row in rows:
-            out += self.learn(now, row)
+            actions += self.merge(now, row)
         if kind == PING:
-            out.append(("send", sender, ACK, nonce, target, self.along()))
-        elif kind == ASK and target in self.members:
-            out.append(self.ping(now, target, sender))
+            actions.append(("send", sender, ACK, nonce, target, self.piggybacked_rows()))
+        elif kind == PING_REQUEST and target in self.members:
+            actions.append(self.ping(now, target, sender))
         elif kind == ACK:
-            ping = self.pings.pop(nonce, None)
-            if ping is not None and ping[0] == sender and ping[2] != self.me:
-                # pinged for another, who is told by an ack of ours that names it
-                out.append(("send", ping[2], ACK, 0, sender, (self.row(sender),)))
-            if target != NOBODY and target in self.members:
-                self.asked.pop(target, None)  # a helper has reached it
+            ping = self.pending_pings.pop(nonce, None)
+            if ping is not None and ping[0] == sender and ping[2] != self.own_index:
+                # An indirect ping: the requester gets an ack that names the target.
+                actions.append(("send", ping[2], ACK, 0, sender, (self.row(sender),)))
+            if target != NO_TARGET and target in self.members:
+                self.missing_acks.pop(target, None)  # a helper has reached it
         elif kind == SYNC:
             known = {row.index for row in rows}
-            fresh = [
+            newer_rows = [
                 self.row(row.index)
                 for row in rows
-                if row.index in self.members and newer(self.members[row.index].incarnation, row.incarnation)
+                if row.index in self.members
+                and is_newer(self.members[row.index].incarnation, row.incarnation)
             ]
-            if fresh and known:
-                out.append(("send", sender, ACK, 0, NOBODY, tuple(fresh[:MOST_ROWS])))
-        return out
+            if newer_rows and known:
+                actions.append(("send", sender, ACK, 0, NO_TARGET, tuple(newer_rows[:MAX_ROWS])))
+        return actions
 
     def leave(self, now: int):
-        """This front is about to end: tell a few, who tell the rest."""
-        self.incarnation = following(self.incarnation)
-        row = (Row(self.me, LEFT, self.incarnation),)
-        return [("send", index, LEAVE, 0, NOBODY, row) for index in self.shuffled(self.living())[:8]]
+        """Announce to a few members, who spread it, that this front shuts down."""
+        self.incarnation = next_incarnation(self.incarnation)
+        row = (Row(self.own_index, LEFT, self.incarnation),)
+        return [("send", index, LEAVE, 0, NO_TARGET, row) for index in self.shuffled(self.live_members())[:8]]
 
     # ---- the protocol
 
-    def period(self, now: int):
-        out, self.round = [], self.round + 1
-        # jittered: fronts that started together do not speak together
-        self.next = now + PERIOD - PERIOD // 10 + self.chance(PERIOD // 5)
-        target = self.take_turn()
+    def run_period(self, now: int):
+        """Ping the next member, and in some periods a dead one or send a slice of the table."""
+        actions = []
+        self.period_count = self.period_count + 1
+        # Jittered, so that fronts that started together don't send together.
+        self.next_period = now + PERIOD - PERIOD // 10 + self.random_below(PERIOD // 5)
+        target = self.next_probe_target()
         if target is not None:
-            out.append(self.ping(now, target))
-        if self.round % BACK == 0:
+            actions.append(self.ping(now, target))
+        if self.period_count % DEAD_PING_PERIODS == 0:
             gone = [m.index for m in self.members.values() if m.state in (DEAD, LEFT)]
             if gone:
-                out.append(self.ping(now, gone[self.chance(len(gone))]))
-        if self.round % SYNCS == 0 and (living := self.living()):
-            to = living[self.chance(len(living))]
-            out.append(("send", to, SYNC, 0, NOBODY, self.slice()))
-        return out
-
-    def take_turn(self) -> int | None:
+                actions.append(self.ping(now, gone[self.random_below(len(gone))]))
+        if self.period_count % SYNC_PERIODS == 0 and (live := self.live_members()):
+            to = live[self.random_below(len(live))]
+            actions.append(("send", to, SYNC, 0, NO_TARGET, self.table_slice()))
+        return actions
+
+    def next_probe_target(self) -> int | None:
+        """The next live member in the shuffled order, or None if there is none."""
         while True:
-            if not self.order:
-                self.order = self.shuffled(self.living())
-                if not self.order:
+            if not self.probe_order:
+                self.probe_order = self.shuffled(self.live_members())
+                if not self.probe_order:
                     return None
-            index = self.order.pop()
+            index = self.probe_order.pop()
             if self.members[index].state in (ALIVE, SUSPECT):
                 return index
 
-    def ping(self, now: int, index: int, whom: int | None = None):
-        self.draws += 1
-        nonce = crc32(f"{self.seed}:{self.me}:ping:{self.draws}".encode()) or 1
-        self.pings[nonce] = index, now + ANSWER, self.me if whom is None else whom
-        return ("send", index, PING, nonce, NOBODY, self.along())
-
-    def silent(self, now: int, target: int):
-        """No answer in time: others are asked to try; then it is suspected."""
+    def ping(self, now: int, index: int, requester: int | None = None):
+        """The action that pings a member, on behalf of `requester` if one is given."""
+        self.draw_count += 1
+        nonce = crc32(f"{self.seed}:{self.own_index}:ping:{self.draw_count}".encode()) or 1
+        self.pending_pings[nonce] = (
+            index,
+            now + ACK_TIMEOUT,
+            self.own_index if requester is None else requester,
+        )
+        return ("send", index, PING, nonce, NO_TARGET, self.piggybacked_rows())
+
+    def ping_timed_out(self, now: int, target: int):
+        """Ping again, directly and through helpers, until the target is due to be suspected."""
         member = self.members[target]
-        if member.state not in (ALIVE, SUSPECT) or member.heard > now - ANSWER:
+        if member.state not in (ALIVE, SUSPECT) or member.heard_at > now - ACK_TIMEOUT:
             return []
-        if target in self.asked:
-            return [self.ping(now, target)] if now + ANSWER <= self.asked[target][1] else []
-        self.asked[target] = now, now + TRY
-        helpers = [index for index in self.living() if index != target]
+        if target in self.missing_acks:
+            return [self.ping(now, target)] if now + ACK_TIMEOUT <= self.missing_acks[target][1] else []
+        self.missing_acks[target] = now, now + SUSPECT_AFTER
+        helpers = [index for index in self.live_members() if index != target]
         return [
             self.ping(now, target),
-            *(("send", index, ASK, 0, target, self.along()) for index in self.shuffled(helpers)[:HELPERS]),
+            *(
+                ("send", index, PING_REQUEST, 0, target, self.piggybacked_rows())
+                for index in self.shuffled(helpers)[:HELPER_COUNT]
+            ),
         ]
 
-    def learn(self, now: int, row: Row, direct: bool = False):
-        """Merge what is said of a member; a higher incarnation counts, then the graver state."""
-        if row.index == self.me:
+    def merge(self, now: int, row: Row, direct: bool = False):
+        """Apply a row: the newer incarnation wins, then the graver state.
+
+        `direct`: the row describes the sender of the datagram itself.
+        """
+        if row.index == self.own_index:
             same = row.incarnation == self.incarnation
-            # of two numbers half the circle apart neither is newer: this front's has to be
-            if row.state != ALIVE if same else not newer(self.incarnation, row.incarnation):
-                # Danger: others hold this front dead, or know a life of it before this one, and share the
-                # fleet without it. It says that it lives.
-                self.incarnation = following(row.incarnation)
-                self.tell(self.me)
+            # Two numbers half the modulus apart are both not newer; this front's own must be newer.
+            if row.state != ALIVE if same else not is_newer(self.incarnation, row.incarnation):
+                # Others believe this front dead, or know an earlier process of it, and divide the fleet
+                # without it. A higher incarnation refutes that.
+                self.incarnation = next_incarnation(row.incarnation)
+                self.queue_update(self.own_index)
             return []
         member = self.members.get(row.index)
         if member is None:
             return []
-        fresh = newer(row.incarnation, member.incarnation)
+        newer = is_newer(row.incarnation, member.incarnation)
         same = row.incarnation == member.incarnation
-        if fresh or same and row.state > member.state:
-            if row.state == DEAD and not fresh and member.state == ALIVE and member.heard > now - PERIOD:
-                return []  # heard of it this moment: it will say so itself
-            return self.become(now, row.index, row.state, row.incarnation)
-        if direct and not fresh and (not same or member.state in (DEAD, LEFT)):
-            # it speaks, and does not know what is held of it: a partition healed, or it started anew
-            return [("send", row.index, SYNC, 0, NOBODY, (self.row(row.index),))]
+        if newer or same and row.state > member.state:
+            if row.state == DEAD and not newer and member.state == ALIVE and member.heard_at > now - PERIOD:
+                return []  # heard from within this period: it will refute the row itself
+            return self.set_state(now, row.index, row.state, row.incarnation)
+        if direct and not newer and (not same or member.state in (DEAD, LEFT)):
+            # It is alive but doesn't know the row about itself, after a partition or a restart: send it.
+            return [("send", row.index, SYNC, 0, NO_TARGET, (self.row(row.index),))]
         return []
 
-    def become(self, now: int, index: int, state: int, incarnation: int):
+    def set_state(self, now: int, index: int, state: int, incarnation: int):
+        """Store a member's new state and queue it for gossip; an action only if the state differs."""
         member = self.members[index]
-        was, member.state, member.incarnation = member.state, state, incarnation
-        self.tell(index)
+        previous = member.state
+        member.state = state
+        member.incarnation = incarnation
+        self.queue_update(index)
         if state == SUSPECT:
-            member.until = now + self.patience()
-        if was == state:
+            member.dead_at = now + self.suspicion_timeout()
+        if previous == state:
             return []
         member.since = now
-        self.asked.pop(index, None)
+        self.missing_acks.pop(index, None)
         return [("changed", index, state)]
 
-    # ---- small helpers
+    # ---- helpers
 
-    def tell(self, index: int) -> None:
-        self.news[index] = 0
+    def queue_update(self, index: int) -> None:
+        """Piggyback this row on the next datagrams."""
+        self.updates[index] = 0
 
-    def along(self) -> tuple[Row, ...]:
-        """Changes that travel with a datagram, those sent least often first."""
-        most = SPREAD * max(1, len(self.living()) + 1).bit_length()
-        chosen = sorted(self.news, key=self.news.get)[:MOST_ROWS]
+    def piggybacked_rows(self) -> tuple[Row, ...]:
+        """The changes to send along with a datagram, those sent least often first."""
+        repeats = UPDATE_REPEATS * max(1, len(self.live_members()) + 1).bit_length()
+        chosen = sorted(self.updates, key=self.updates.get)[:MAX_ROWS]
         for index in chosen:
-            self.news[index] += 1
-            if self.news[index] >= most:
-                del self.news[index]
+            self.updates[index] += 1
+            if self.updates[index] >= repeats:
+                del self.updates[index]
         return tuple(self.row(index) for index in chosen)
 
     def row(self, index: int) -> Row:
-        if index == self.me:
+        """The row of a member or of this front."""
+        if index == self.own_index:
             return Row(index, ALIVE, self.incarnation)
         member = self.members[index]
         return Row(index, member.state, member.incarnation)
 
-    def slice(self) -> tuple[Row, ...]:
-        """The next part of the table of all that ever spoke, this front's own row first."""
+    def table_slice(self) -> tuple[Row, ...]:
+        """This front's own row, then the next part of the table of all members ever heard from."""
         known = sorted(m.index for m in self.members.values() if m.incarnation)
         if not known:
-            return (self.row(self.me),)
-        first = self.round // SYNCS * (MOST_ROWS - 1) % len(known)
-        chosen = (known[first:] + known[:first])[: MOST_ROWS - 1]
-        return (self.row(self.me), *(self.row(index) for index in chosen))
+            return (self.row(self.own_index),)
+        first = self.period_count // SYNC_PERIODS * (MAX_ROWS - 1) % len(known)
+        chosen = (known[first:] + known[:first])[: MAX_ROWS - 1]
+        return (self.row(self.own_index), *(self.row(index) for index in chosen))
 
-    def patience(self) -> int:
-        return PATIENCE * max(1, (len(self.living()) + 1).bit_length())
+    def suspicion_timeout(self) -> int:
+        """Ticks from a suspicion to the declaration of death, for the present number of members."""
+        return SUSPICION_TIMEOUT * max(1, (len(self.live_members()) + 1).bit_length())
 
-    def living(self) -> list[int]:
-        """Those that are not held dead, suspects among them."""
+    def live_members(self) -> list[int]:
+        """Indices of the members that are alive or suspected."""
         return [m.index for m in self.members.values() if m.state in (ALIVE, SUSPECT)]
 
-    def count(self) -> int:
-        """How many share the fleet, this front among them."""
-        return 1 + len(self.living())
-
-    def part(self, held: int) -> float:
-        """This front's part of all plays, from what the others told last."""
-        return held / max(1, held + sum(self.members[index].load for index in self.living()))
-
-    def due(self, now: int) -> int:
-        dues = [
-            self.next,
-            *(due for _, due, _ in self.pings.values()),
-            *(due for _, due in self.asked.values()),
-            *(m.until for m in self.members.values() if m.state == SUSPECT),
+    def member_count(self) -> int:
+        """How many fronts share the fleet, this one included."""
+        return 1 + len(self.live_members())
+
+    def load_share(self, own_plays: int) -> float:
+        """This front's share of all plays, by the loads that the others last announced."""
+        return own_plays / max(1, own_plays + sum(self.members[index].load for index in self.live_members()))
+
+    def next_wake_delay(self, now: int) -> int:
+        """Ticks until the next deadline, 1 at least."""
+        deadlines = [
+            self.next_period,
+            *(deadline for _, deadline, _ in self.pending_pings.values()),
+            *(suspect_at for _, suspect_at in self.missing_acks.values()),
+            *(m.dead_at for m in self.members.values() if m.state == SUSPECT),
         ]
-        return max(1, min(dues) - now)
-
-    def shuffled(self, found: list[int]) -> list[int]:
-        self.draws += 1
-        return sorted(found, key=lambda i: crc32(f"{self.seed}:{self.me}:{self.draws}:{i}".encode()))
-
-    def chance(self, below: int) -> int:
-        self.draws += 1
-        return crc32(f"{self.seed}:{self.me}:{self.draws}".encode()) % below
+        return max(1, min(deadlines) - now)
+
+    def shuffled(self, indices: list[int]) -> list[int]:
+        """A new order of the indices, different at each call and front."""
+        self.draw_count += 1
+        return sorted(
+            indices, key=lambda i: crc32(f"{self.seed}:{self.own_index}:{self.draw_count}:{i}".encode())
+        )
+
+    def random_below(self, bound: int) -> int:
+        """A pseudo-random number from 0 to `bound - 1`."""
+        self.draw_count += 1
+        return crc32(f"{self.seed}:{self.own_index}:{self.draw_count}".encode()) % bound
--- a/curlewhall/sites/decide.py
+++ b/curlewhall/sites/decide.py
@@ -1,414 +1,487 @@
-"""Whether a site is lost, and which of its nodes get plays. No I/O, no clock.
+"""Decides whether a site is lost, and which of its nodes may get plays. No I/O and no clock.
 
-Called once for each thing that happens, `now` in tenths of a millisecond; answers are tuples:
+`run` calls a method for each event, with `now` in ticks (tenths of a millisecond), and executes the returned
+actions, which are tuples:
 
-- `("ask", node)`: ask the node for its load; what comes of it is told by `evidence`.
-- `("hide", nodes)`, `("show", nodes)`: the module is to be told that these are gone, or are there again.
-- `("state", site, state, fleet, why)`: what is held of a site has changed.
-- `("say", peer, rows)`: a word to another front, rows of (site, dead, age).
-- `("wake", span)`: call `wake` then.
+- `("probe", node)`: request the node's load; the result comes back through `record_evidence`.
+- `("hide", nodes)`, `("show", nodes)`: tell the module that these nodes are gone, or are back.
+- `("state", site, state, fleet_wide, reason)`: the state of a site has changed.
+- `("report", peer, rows)`: send another front rows of (site, dead, age).
+- `("wake", delay)`: call `wake` after that many ticks.
 
-Danger: a front that is cut off from a site sees the same as a front at a dead one. For its own plays both are
-alike: nobody there can be had. For the fleet they are not: the others still use that site. So a loss is held
-for this front alone until others who have looked for themselves say the same, and only a loss of the fleet
-makes plays be refused for it.
+A front that is cut off from a site observes the same as a front at a dead site. For its own plays the two are
+alike: no node there can be reached. For the fleet they are not: the other fronts still use that site. So a
+loss holds for this front alone until other fronts confirm it from their own observations, and plays are
+refused only for a loss of the whole fleet.
 """
 
 from collections.abc import Iterable
 from zlib import crc32
 
-from .state import DOUBTED, LOST, NEVER, RETURNING, WHOLE, Node, Site, Word
-
-SECOND = 10_000
-FRESH = 25 * SECOND // 10  # nodes speak once a second: two of those missed, and half a second for the way
-APART = SECOND // 5  # failures closer than this are one: connections of one moment break together
-LEAST = 3  # nodes: of fewer the module's own doubt of each is as quick, and no evidence for a whole
-DOUBT, SURE, TOLD = 0.5, 0.6, 0.3  # parts of a site that fail: doubted; lost; lost where others say so too
-WELL = 0.8  # of the nodes that are listed there: whole again
-MISSED = 60 * SECOND  # for so long a node that the list has taken away counts among its site's
-LOOK, CALM = SECOND // 2, SECOND  # between two looks while something is wrong; while all is well
-ASKS = 4  # nodes asked in a look: eight a second and front, whatever a site's size
-PAUSE = SECOND  # before one node is asked again
-WITNESSES = 2  # other fronts that have to see it too; all of them where there are fewer
-AGE = 5 * SECOND  # after which a word counts no more
-TO = 3  # fronts told in a look: flat in their number; 24 have two witnesses within a second
-HOLD, LONGEST = SECOND // 2, 8 * SECOND  # nothing is taken back for so long; doubled with each loss, up to
-FORGIVEN = 60 * SECOND  # sound for so long: the next loss is a first one
-FIRST, STEP = 0.25, SECOND // 2  # the part of a site that is let in at first; after so long it may double
-
-
-class Sites:
-    """One front's view. `peers`: indices of the others; `warm`: how long a cold node takes to be warm."""
-
-    def __init__(self, now: int, me: int, peers: Iterable[int], seed: int, warm: int) -> None:
-        self.me, self.peers, self.seed, self.warm, self.draws = me, sorted(peers), seed, warm, 0
-        self.living = list(self.peers)  # of them, as far as membership knows
+from .state import DOUBTED, LOST, NEVER, RETURNING, WHOLE, Node, PeerReport, Site
+
+TICKS_PER_SECOND = 10_000
+# Times below are ticks.
+SILENCE_TIMEOUT = 25 * TICKS_PER_SECOND // 10  # nodes report once a second: two missed, plus 0.5 s of delay
+SEPARATE_FAILURES = TICKS_PER_SECOND // 5  # failures closer than this count once: connections break together
+MIN_SITE_NODES = 3  # with fewer the module's own handling of each node is as quick, and evidence is too thin
+# Fractions of a site's nodes that fail: for DOUBTED; for LOST; for LOST when other fronts confirm it.
+DOUBTED_FRACTION = 0.5
+LOST_FRACTION = 0.6
+LOST_FRACTION_WITH_PEERS = 0.3
+RESTORED_FRACTION = 0.8  # of the listed nodes that must have plays for the site to be WHOLE again
+REMOVED_NODE_LIFETIME = 60 * TICKS_PER_SECOND  # how long a node removed from the list counts at its site
+URGENT_INTERVAL = TICKS_PER_SECOND // 2  # between checks while some site is not WHOLE
+IDLE_INTERVAL = TICKS_PER_SECOND  # between checks while all sites are WHOLE
+PROBES_PER_CHECK = 4  # nodes per site; eight a second per front, whatever the site's size
+PROBE_INTERVAL = TICKS_PER_SECOND  # between two probes of one node
+REQUIRED_WITNESSES = 2  # other fronts that must confirm a fleet-wide loss; all of them where there are fewer
+REPORT_LIFETIME = 5 * TICKS_PER_SECOND  # after which another front's report is ignored
+REPORT_FANOUT = 3  # fronts per check, whatever their number; with 24 fronts two witnesses confirm in 1 s
+MIN_HOLD = TICKS_PER_SECOND // 2  # after a loss no node is readmitted for so long; doubled with each new loss
+MAX_HOLD = 8 * TICKS_PER_SECOND
+STABLE_AFTER = 60 * TICKS_PER_SECOND  # WHOLE for so long: the next loss starts from `MIN_HOLD` again
+FIRST_ADMISSION = 0.25  # the fraction of a site that is readmitted first
+ADMISSION_STEP = TICKS_PER_SECOND // 2  # after which the admitted number may double
+
+
+class SiteDetector:
+    """One front's view of the sites.
+
+    `peers` are the indices of the other fronts, `seed` makes the random choices repeatable, and `warm_up` is
+    how many ticks a cold node takes to become warm.
+    """
+
+    def __init__(self, now: int, own_index: int, peers: Iterable[int], seed: int, warm_up: int) -> None:
+        self.own_index = own_index
+        self.peers = sorted(peers)
+        self.seed = seed
+        self.warm_up = warm_up
+        self.draw_count = 0
+        self.live_peers = list(self.peers)  # those that membership believes alive
         self.nodes: dict[str, Node] = {}
         self.sites: dict[str, Site] = {}
-        self.next = now + self.chance(CALM)
+        self.next_check = now + self.random_below(IDLE_INTERVAL)
 
-    # ---- what happens
+    # ---- events
 
-    def begin(self, now: int):
-        return [("wake", max(1, self.next - now))]
+    def start(self, now: int):
+        """The first wake."""
+        return [("wake", max(1, self.next_check - now))]
 
-    def listed(self, now: int, rows: Iterable[tuple[str, str, str, int]], whole: bool):
-        """Lines of the list: node, site, state, start. `whole`: whatever is not named has gone.
+    def nodes_listed(self, now: int, rows: Iterable[tuple[str, str, str, int]], whole: bool):
+        """Apply rows of the node list: node, site, state, start. `whole`: nodes not named are gone.
 
-        Danger: a list that has lost half of the fleet by mistake, or one that comes late with nodes long
-        dead, is a word like others. What it takes away counts as failed; what answers all the same is not
-        lost.
+        The list is evidence like any other, because it may lose half of the fleet by mistake or name nodes
+        that are long dead. A node that it removes counts as failed; a node that still answers is not lost.
         """
-        out, named = [], set()
-        for name, where, state, started in rows:
+        actions, named = [], set()
+        for name, site_name, state, started in rows:
             named.add(name)
             node = self.nodes.get(name)
             if state == "gone":
-                out += self.taken(now, node)
+                actions += self.remove_listed(now, node)
                 continue
-            if node is None or node.site != where:
+            if node is None or node.site != site_name:
                 self.forget(node)
-                node = self.nodes[name] = Node(name, where, started)
-                self.sites.setdefault(where, Site(where, since=now)).nodes[name] = node
-                # Danger: a site that comes back under new names would be met by all fronts at once.
-                if self.sites[where].state in (LOST, RETURNING):
+                node = self.nodes[name] = Node(name, site_name, started)
+                self.sites.setdefault(site_name, Site(site_name, since=now)).nodes[name] = node
+                # Otherwise all fronts would use a site at once that comes back under new node names.
+                if self.sites[site_name].state in (LOST, RETURNING):
                     node.hidden = True
-                    out.append(("hide", [name]))
-            elif started > node.started or node.gone_at != NEVER:
-                # another process, which nobody has met
-                node.started, node.lived, node.answered_at, node.spoke_at = started, False, NEVER, NEVER
-                if not node.failing and self.sites[where].state in (LOST, RETURNING):
-                    node.failed_at, node.how = now, "started"
+                    actions.append(("hide", [name]))
+            elif started > node.started or node.removed_at != NEVER:
+                # A new process: nothing observed of the old one applies to it.
+                node.started = started
+                node.survived = False
+                node.answered_at = NEVER
+                node.heard_at = NEVER
+                if not node.failing and self.sites[site_name].state in (LOST, RETURNING):
+                    node.failed_at = now
+                    node.failure_kind = "started"
             if (
-                node.leaving
+                node.draining
                 and state != "draining"
                 and not node.hidden
-                and self.sites[where].state in (LOST, RETURNING)
+                and self.sites[site_name].state in (LOST, RETURNING)
             ):
-                node.hidden = True  # its drain is called back, at a site that nobody has
-                out.append(("hide", [name]))
-            node.gone_at, node.leaving = NEVER, state == "draining"
+                node.hidden = True  # its drain is cancelled, but its site is not usable
+                actions.append(("hide", [name]))
+            node.removed_at = NEVER
+            node.draining = state == "draining"
         if whole:
-            for node in [n for n in self.nodes.values() if n.name not in named and n.gone_at == NEVER]:
-                out += self.taken(now, node)
-        return out + self.judge(now)
+            for node in [n for n in self.nodes.values() if n.name not in named and n.removed_at == NEVER]:
+                actions += self.remove_listed(now, node)
+        return actions + self.evaluate(now)
 
-    def taken(self, now: int, node: Node | None):
-        """The list has taken a node away. One that drained is no loss."""
-        if node is None or node.gone_at != NEVER:
+    def remove_listed(self, now: int, node: Node | None):
+        """The list has removed a node: a failure, unless it was draining."""
+        if node is None or node.removed_at != NEVER:
             return []
-        if node.leaving:
+        if node.draining:
             self.forget(node)
             return []
-        node.gone_at = now
-        self.fail(node, now, "listed gone", True)
+        node.removed_at = now
+        self.record_failure(node, now, "listed gone", True)
         return []
 
     def forget(self, node: Node | None) -> None:
+        """Delete a node's record."""
         if node is not None:
             del self.nodes[node.name], self.sites[node.site].nodes[node.name]
 
-    def evidence(self, now: int, name: str, how: str, lived: bool = False):
-        """What came of something at a node: `answered`; `spoke` unasked; `late`, a set-up that took too long;
-        `refused`, `reset` or `silent`, which took far longer than anything takes.
+    def record_evidence(self, now: int, name: str, how: str, survived: bool = False):
+        """Record the outcome of a contact with a node.
 
-        `lived`: the answer shows that it is the process from before.
+        `how`: "answered" a request; "spoke" unasked; "late", a set-up that exceeded its time limit;
+        "refused", "reset" or "silent", which is no answer within far longer than any request takes.
+        `survived`: the answer shows that it is the process from before the loss.
 
-        Danger: a way that is cut in one direction lets a node's words through and none of what it is asked.
-        So a word that nobody asked for says that the node lives, not that it can be had.
+        A link that is cut in one direction delivers a node's messages but none of the requests to it. So an
+        unrequested message proves that the node is alive, not that it can be reached.
         """
         node = self.nodes.get(name)
         if node is None:
             return []
         if how in ("answered", "spoke"):
-            node.spoke_at = now
+            node.heard_at = now
         if how == "answered":
-            node.answered_at, node.fails, node.refused = max(now, node.failed_at, node.late_at), 0, False
-            node.lived = node.lived or lived
+            node.answered_at = max(now, node.failed_at, node.late_at)
+            node.failure_count = 0
+            node.refused = False
+            node.survived = node.survived or survived
         elif how == "late":
             node.late_at = max(now, node.answered_at + 1)
         elif how != "spoke":
-            self.fail(node, now, how, how == "refused")
+            self.record_failure(node, now, how, how == "refused")
         site = self.sites[node.site]
-        # nearly all that is heard is that all is well
-        return self.judge(now, site) if site.state != WHOLE or node.doubtful else []
-
-    def fail(self, node: Node, now: int, how: str, refused: bool) -> None:
-        if node.answered_at >= node.failed_at or now - node.failed_at >= APART:
-            node.fails += 1
-        # an answer of the same moment counts for less: it was on its way before
-        node.failed_at, node.how = max(now, node.answered_at + 1), how
+        # Nearly all evidence is that nothing is wrong and needs no evaluation.
+        return self.evaluate(now, site) if site.state != WHOLE or node.degraded else []
+
+    def record_failure(self, node: Node, now: int, kind: str, refused: bool) -> None:
+        """Record a failed contact."""
+        if node.answered_at >= node.failed_at or now - node.failed_at >= SEPARATE_FAILURES:
+            node.failure_count += 1
+        # A failure outweighs an answer of the same tick, which was sent before it.
+        node.failed_at = max(now, node.answered_at + 1)
+        node.failure_kind = kind
         node.refused = node.refused or refused
 
-    def told(self, now: int, peer: int, rows: Iterable[tuple[str, bool, int]]):
-        """Another front says what it has seen: site, whether dead, how long ago by its own clock."""
-        out = []
+    def handle_peer_report(self, now: int, peer: int, rows: Iterable[tuple[str, bool, int]]):
+        """Apply another front's observations: site, whether dead, and their age in ticks by its own clock."""
+        actions = []
         for name, dead, age in rows:
             site = self.sites.get(name)
-            if site is None or peer not in self.peers or not 0 <= age < AGE:
+            if site is None or peer not in self.peers or not 0 <= age < REPORT_LIFETIME:
                 continue
-            site.words[peer] = Word(dead, now - age)
+            site.peer_reports[peer] = PeerReport(dead, now - age)
             if dead and site.state == WHOLE:
-                site.disputed_at = now  # this front sees it otherwise, and says so
-            out += self.judge(now, site)
-        if out or any(site.disputed_at == now for site in self.sites.values()):
-            out += self.hurry(now)
-        return out
+                site.disputed_at = now  # this front observes the opposite, and reports it
+            actions += self.evaluate(now, site)
+        if actions or any(site.disputed_at == now for site in self.sites.values()):
+            actions += self.expedite_check(now)
+        return actions
 
     def wake(self, now: int):
-        """A wake asked for earlier is due."""
-        if now < self.next:
-            return [("wake", self.next - now)]
-        for node in [n for n in self.nodes.values() if n.gone_at != NEVER and now - n.gone_at > MISSED]:
+        """Check for silent nodes, probe and report, if the next check is due."""
+        if now < self.next_check:
+            return [("wake", self.next_check - now)]
+        for node in [
+            n
+            for n in self.nodes.values()
+            if n.removed_at != NEVER and now - n.removed_at > REMOVED_NODE_LIFETIME
+        ]:
             self.forget(node)
         for node in self.nodes.values():
-            # Danger: a machine that vanished says nothing, and its connections stay open
-            if node.spoke_at != NEVER and now - node.spoke_at > FRESH and not node.failing:
-                self.fail(node, now, "silent", False)
-        out = self.judge(now)
-        wrong = [s for s in self.sites.values() if s.state != WHOLE]
-        for site in wrong:
-            out += self.ask(now, site)
-        if wrong or any(now - s.disputed_at < AGE for s in self.sites.values()):
-            out += self.speak(now)
-        # jittered: fronts that lost the same in one moment do not look in step
-        span = LOOK if wrong else CALM
-        self.next = now + span - span // 10 + self.chance(span // 5)
-        return [*out, ("wake", self.next - now)]
-
-    def present(self, living: Iterable[int]) -> None:
-        """Which of the others live. Danger: the dead would be waited for as witnesses."""
-        self.living = sorted(set(living) & set(self.peers))
-
-    def hurry(self, now: int):
-        """Something is wrong: look soon, whatever was planned."""
-        if self.next - now <= LOOK:
+            # A machine that vanished sends nothing, and its connections stay open.
+            if node.heard_at != NEVER and now - node.heard_at > SILENCE_TIMEOUT and not node.failing:
+                self.record_failure(node, now, "silent", False)
+        actions = self.evaluate(now)
+        impaired = [s for s in self.sites.values() if s.state != WHOLE]
+        for site in impaired:
+            actions += self.probe(now, site)
+        if impaired or any(now - s.disputed_at < REPORT_LIFETIME for s in self.sites.values()):
+            actions += self.report_to_peers(now)
+        # Jittered, so that fronts that lost the same site at one moment don't check in step.
+        interval = URGENT_INTERVAL if impaired else IDLE_INTERVAL
+        self.next_check = now + interval - interval // 10 + self.random_below(interval // 5)
+        return [*actions, ("wake", self.next_check - now)]
+
+    def set_live_peers(self, live: Iterable[int]) -> None:
+        """Set which other fronts are alive. Dead ones must not be waited for as witnesses."""
+        self.live_peers = sorted(set(live) & set(self.peers))
+
+    def expedite_check(self, now: int):
+        """Check soon, because something is wrong."""
+        if self.next_check - now <= URGENT_INTERVAL:
             return []
-        self.next = now + 1 + self.chance(LOOK // 5)
-        return [("wake", self.next - now)]
+        self.next_check = now + 1 + self.random_below(URGENT_INTERVAL // 5)
+        return [("wake", self.next_check - now)]
 
-    # ---- what is held of a site
+    # ---- states of sites
 
-    def judge(self, now: int, only: Site | None = None):
-        """Weigh the evidence; states and what follows from them."""
-        out = []
+    def evaluate(self, now: int, only: Site | None = None):
+        """Weigh the evidence on all sites, or on one, and act on state changes."""
+        actions = []
         for site in [only] if only is not None else list(self.sites.values()):
-            # what drains has been told to go: neither its end nor its silence is a loss
-            nodes = [n for n in site.nodes.values() if not n.leaving]
-            out += getattr(self, f"when_{site.state}")(now, site, nodes)
-        return out
-
-    def when_whole(self, now: int, site: Site, nodes: list[Node]):
-        if not self.half_fails(nodes):
+            # Draining nodes were told to go: neither their end nor their silence is a loss.
+            nodes = [n for n in site.nodes.values() if not n.draining]
+            actions += getattr(self, f"evaluate_{site.state}")(now, site, nodes)
+        return actions
+
+    def evaluate_whole(self, now: int, site: Site, nodes: list[Node]):
+        """A WHOLE site becomes DOUBTED when enough of its nodes are degraded."""
+        if not self.half_degraded(nodes):
             return []
-        out = self.become(now, site, DOUBTED, self.how_many(nodes))
-        return out + self.hurry(now) + self.when_doubted(now, site, nodes)
+        actions = self.set_state(now, site, DOUBTED, self.failure_summary(nodes))
+        return actions + self.expedite_check(now) + self.evaluate_doubted(now, site, nodes)
 
-    def when_doubted(self, now: int, site: Site, nodes: list[Node]):
+    def evaluate_doubted(self, now: int, site: Site, nodes: list[Node]):
+        """A DOUBTED site becomes LOST or WHOLE again."""
         if self.is_lost(now, site, nodes):
-            return self.lose(now, site, nodes)
-        return [] if self.half_fails(nodes) else self.become(now, site, WHOLE, self.how_many(nodes))
+            return self.declare_lost(now, site, nodes)
+        return (
+            [] if self.half_degraded(nodes) else self.set_state(now, site, WHOLE, self.failure_summary(nodes))
+        )
 
-    def half_fails(self, nodes: list[Node]) -> bool:
-        return sum(n.doubtful for n in nodes) >= max(2, DOUBT * len(nodes))
+    def half_degraded(self, nodes: list[Node]) -> bool:
+        """Whether enough nodes are degraded for the site to be DOUBTED: two at least."""
+        return sum(n.degraded for n in nodes) >= max(2, DOUBTED_FRACTION * len(nodes))
 
-    def how_many(self, nodes: list[Node]) -> str:
-        return f"{sum(n.doubtful for n in nodes)} of {len(nodes)} nodes fail"
+    def failure_summary(self, nodes: list[Node]) -> str:
+        """The reason of a state change, for the log."""
+        return f"{sum(n.degraded for n in nodes)} of {len(nodes)} nodes fail"
 
     def is_lost(self, now: int, site: Site, nodes: list[Node]) -> bool:
-        """Whether nobody there can be had, seen often enough, while others can be.
+        """Whether no node there can be reached, confirmed often enough, while nodes elsewhere can be.
 
-        Danger: a dead rack, a release that replaces half of a site and a slow site all have nodes that
-        answer. A front that is cut off from everything has no site left to compare with.
+        A dead rack, a release that replaces half of a site and a slow site all have nodes that answer. A
+        front that is cut off from everything has no other site to compare with.
         """
-        if len(nodes) < LEAST or any(self.had(now, n) for n in nodes) or self.cut_off(now, site):
+        if (
+            len(nodes) < MIN_SITE_NODES
+            or any(self.is_reachable(now, n) for n in nodes)
+            or self.is_isolated(now, site)
+        ):
             return False
-        return sum(n.sure for n in nodes) >= max(2, (TOLD if self.seen(now, site) else SURE) * len(nodes))
+        return sum(n.confirmed_down for n in nodes) >= max(
+            2,
+            (LOST_FRACTION_WITH_PEERS if self.confirmed_by_peers(now, site) else LOST_FRACTION) * len(nodes),
+        )
 
-    def had(self, now: int, node: Node) -> bool:
-        """Whether the node can be had: an answer, or at least its words, and nothing that failed since."""
-        return not node.failing and now - node.spoke_at <= FRESH
+    def is_reachable(self, now: int, node: Node) -> bool:
+        """Whether the node was heard from lately and no request has failed since its last answer."""
+        return not node.failing and now - node.heard_at <= SILENCE_TIMEOUT
 
-    def cut_off(self, now: int, site: Site) -> bool:
+    def is_isolated(self, now: int, site: Site) -> bool:
+        """Whether this front reaches no node of any other site."""
         return not any(
-            self.had(now, n)
+            self.is_reachable(now, n)
             for other in self.sites.values()
             if other is not site
             for n in other.nodes.values()
         )
 
-    def seen(self, now: int, site: Site) -> bool:
-        """Whether enough others who looked for themselves hold it dead, and hardly any speaks against
-        them.
-        """
-        words = [w for w in site.words.values() if now - w.at <= AGE]
-        dead = sum(w.dead for w in words)
-        return dead >= max(1, min(WITNESSES, len(self.living))) and dead > 2 * (len(words) - dead)
+    def confirmed_by_peers(self, now: int, site: Site) -> bool:
+        """Whether enough other fronts observe the site as dead, and hardly any contradicts them."""
+        reports = [r for r in site.peer_reports.values() if now - r.observed_at <= REPORT_LIFETIME]
+        dead = sum(r.dead for r in reports)
+        return dead >= max(1, min(REQUIRED_WITNESSES, len(self.live_peers))) and dead > 2 * (
+            len(reports) - dead
+        )
 
-    def of_fleet(self, now: int, site: Site, nodes: list[Node]) -> bool:
-        """Whether the loss is everybody's: others say so; or, with nobody to ask, what is left of it does.
+    def is_fleet_wide(self, now: int, site: Site, nodes: list[Node]) -> bool:
+        """Whether the whole fleet has lost the site.
 
-        A refusal comes from the machine itself, and the list's word from whoever runs it: neither is to be
-        had by a front that is only cut off. Silence alone is.
+        Either other fronts confirm it or, if none contradicts it, the site's own machines do: a refusal comes
+        from the machine itself, and a removal in the list from its operator. A front that is merely cut off
+        gets neither of them, only silence.
         """
-        if self.seen(now, site):
+        if self.confirmed_by_peers(now, site):
             return True
-        against = any(not w.dead and now - w.at <= AGE for w in site.words.values())
-        return not against and sum(n.refused for n in nodes) >= max(2, DOUBT * len(nodes))
-
-    def lose(self, now: int, site: Site, nodes: list[Node]):
-        again = site.lost_at != NEVER and now - site.since < FORGIVEN
-        site.hold = min(LONGEST, 2 * site.hold) if again and site.hold else HOLD
-        site.lost_at, site.let_in, site.fleet = now, 0, self.of_fleet(now, site, nodes)
-        hidden = [n.name for n in nodes if not n.hidden]
+        contradicted = any(
+            not r.dead and now - r.observed_at <= REPORT_LIFETIME for r in site.peer_reports.values()
+        )
+        return not contradicted and sum(n.refused for n in nodes) >= max(2, DOUBTED_FRACTION * len(nodes))
+
+    def declare_lost(self, now: int, site: Site, nodes: list[Node]):
+        """Set the site LOST, hide its nodes from the module and report it to other fronts."""
+        repeated = site.lost_at != NEVER and now - site.since < STABLE_AFTER
+        site.hold_ticks = min(MAX_HOLD, 2 * site.hold_ticks) if repeated and site.hold_ticks else MIN_HOLD
+        site.lost_at = now
+        site.admission_limit = 0
+        site.fleet_wide = self.is_fleet_wide(now, site, nodes)
+        newly_hidden = [n.name for n in nodes if not n.hidden]
         for node in nodes:
-            node.hidden, node.lived = True, False
-        kinds = sorted({n.how for n in nodes if n.failing})
-        out = self.become(now, site, LOST, f"{len(nodes)} nodes: {', '.join(kinds)}")
-        return [*out, *([("hide", hidden)] if hidden else []), *self.speak(now)]
-
-    def when_lost(self, now: int, site: Site, nodes: list[Node]):
-        out = []
-        fleet = self.of_fleet(now, site, nodes)
-        if fleet != site.fleet:
-            # Danger: a wrong word must not make the fleet refuse plays for a site that the others use
-            site.fleet = fleet
-            why = "others have lost it too" if fleet else "others can have it"
-            out.append(("state", site.name, LOST, fleet, why))
-        back = [n for n in nodes if n.answered_at > site.lost_at and not n.failing]
-        if not back or now - site.lost_at < site.hold:
-            return out
-        site.let_in, site.step_at = max(1, int(FIRST * len(nodes))), now + STEP
-        out += self.become(now, site, RETURNING, f"{len(back)} of {len(nodes)} nodes answer")
-        return out + self.let(now, site, nodes)
-
-    def when_returning(self, now: int, site: Site, nodes: list[Node]):
+            node.hidden = True
+            node.survived = False
+        kinds = sorted({n.failure_kind for n in nodes if n.failing})
+        actions = self.set_state(now, site, LOST, f"{len(nodes)} nodes: {', '.join(kinds)}")
+        return [
+            *actions,
+            *([("hide", newly_hidden)] if newly_hidden else []),
+            *self.report_to_peers(now),
+        ]
+
+    def evaluate_lost(self, now: int, site: Site, nodes: list[Node]):
+        """A LOST site becomes RETURNING when nodes answer again and its hold time is over."""
+        actions = []
+        fleet_wide = self.is_fleet_wide(now, site, nodes)
+        if fleet_wide != site.fleet_wide:
+            # A wrong report must not make the fleet refuse plays for a site that the other fronts still use.
+            site.fleet_wide = fleet_wide
+            reason = "other fronts have lost it too" if fleet_wide else "other fronts can reach it"
+            actions.append(("state", site.name, LOST, fleet_wide, reason))
+        answering = [n for n in nodes if n.answered_at > site.lost_at and not n.failing]
+        if not answering or now - site.lost_at < site.hold_ticks:
+            return actions
+        site.admission_limit = max(1, int(FIRST_ADMISSION * len(nodes)))
+        site.next_step_at = now + ADMISSION_STEP
+        actions += self.set_state(now, site, RETURNING, f"{len(answering)} of {len(nodes)} nodes answer")
+        return actions + self.admit(now, site, nodes)
+
+    def evaluate_returning(self, now: int, site: Site, nodes: list[Node]):
+        """A RETURNING site gets its nodes back in steps, until it is WHOLE or LOST again."""
         if self.is_lost(now, site, [n for n in nodes if not n.hidden or n.failing]):
-            return self.lose(now, site, nodes)
-        out = []
-        worse = [n for n in nodes if not n.hidden and n.failing and n.failed_at > n.shown_at]
-        if worse:
-            # what came back fails again: half as much is let in, and not more for a while
-            site.let_in, site.step_at = max(1, site.let_in // 2), now + 2 * STEP
-            for node in worse:
+            return self.declare_lost(now, site, nodes)
+        actions = []
+        failed_again = [n for n in nodes if not n.hidden and n.failing and n.failed_at > n.readmitted_at]
+        if failed_again:
+            # Readmitted nodes fail again: halve the limit and delay the next step.
+            site.admission_limit = max(1, site.admission_limit // 2)
+            site.next_step_at = now + 2 * ADMISSION_STEP
+            for node in failed_again:
                 node.hidden = True
-            out.append(("hide", [n.name for n in worse]))
-        elif now >= site.step_at and site.let_in < len(nodes):
-            site.let_in, site.step_at = min(len(nodes), 2 * site.let_in), now + STEP
-        out += self.let(now, site, nodes)
-        listed = [n for n in nodes if n.gone_at == NEVER]
+            actions.append(("hide", [n.name for n in failed_again]))
+        elif now >= site.next_step_at and site.admission_limit < len(nodes):
+            site.admission_limit = min(len(nodes), 2 * site.admission_limit)
+            site.next_step_at = now + ADMISSION_STEP
+        actions += self.admit(now, site, nodes)
+        listed = [n for n in nodes if n.removed_at == NEVER]
         shown = [n for n in listed if not n.hidden]
-        settled = max((n.shown_at for n in shown), default=now) + (
-            0 if all(n.lived for n in shown) else self.warm
+        warm_at = max((n.readmitted_at for n in shown), default=now) + (
+            0 if all(n.survived for n in shown) else self.warm_up
         )
-        if shown and len(shown) >= WELL * len(listed) and now >= settled:
-            rest = [n.name for n in listed if n.hidden]
+        if shown and len(shown) >= RESTORED_FRACTION * len(listed) and now >= warm_at:
+            still_hidden = [n.name for n in listed if n.hidden]
             for node in listed:
                 node.hidden = False
-            out += [("show", rest)] if rest else []
-            site.fleet = False
-            out += self.become(now, site, WHOLE, f"{len(shown)} of {len(listed)} nodes have plays again")
-        return out
-
-    def let(self, now: int, site: Site, nodes: list[Node]):
-        """Let in as many as may, those that answer, in an order of this front's own. Those that lived through
-        it are warm, and are all let in.
-
-        Danger: all fronts that begin with the same few nodes would push those over. Drawn apart, a quarter of
-        the fronts meets each.
+            actions += [("show", still_hidden)] if still_hidden else []
+            site.fleet_wide = False
+            actions += self.set_state(
+                now, site, WHOLE, f"{len(shown)} of {len(listed)} nodes have plays again"
+            )
+        return actions
+
+    def admit(self, now: int, site: Site, nodes: list[Node]):
+        """Show answering nodes to the module, up to the site's limit, in an order of this front's own.
+
+        Nodes that survived the loss are warm and don't count against the limit. If all fronts began with the
+        same few nodes, they would overload them; with own orders a quarter of the fronts meets each node.
         """
-        room = max(0, site.let_in - sum(not n.hidden and not n.lived for n in nodes))
-        back = sorted(
+        free = max(0, site.admission_limit - sum(not n.hidden and not n.survived for n in nodes))
+        candidates = sorted(
             (
                 n
                 for n in nodes
-                if n.hidden and not n.failing and n.answered_at > site.lost_at and n.gone_at == NEVER
+                if n.hidden and not n.failing and n.answered_at > site.lost_at and n.removed_at == NEVER
             ),
             key=lambda n: crc32(f"{self.seed}:{n.name}".encode()),
         )
-        ready = [n for n in back if n.lived] + [n for n in back if not n.lived][:room]
-        for node in ready:
-            node.hidden, node.shown_at = False, now
-        return [("show", [n.name for n in ready])] if ready else []
-
-    def become(self, now: int, site: Site, state: str, why: str):
-        site.state, site.since = state, now
-        return [("state", site.name, state, site.fleet, why)]
-
-    # ---- asking and saying
-
-    def ask(self, now: int, site: Site):
-        """A few of its nodes, those first that were asked longest ago; each once in a while."""
+        admitted = [n for n in candidates if n.survived] + [n for n in candidates if not n.survived][:free]
+        for node in admitted:
+            node.hidden = False
+            node.readmitted_at = now
+        return [("show", [n.name for n in admitted])] if admitted else []
+
+    def set_state(self, now: int, site: Site, state: str, reason: str):
+        """Store a site's new state; returns the action that announces it."""
+        site.state = state
+        site.since = now
+        return [("state", site.name, state, site.fleet_wide, reason)]
+
+    # ---- probes and reports
+
+    def probe(self, now: int, site: Site):
+        """Probe a few of a site's nodes, those first that were probed longest ago."""
         due = sorted(
-            (n for n in site.nodes.values() if now - n.asked_at >= PAUSE and n.gone_at == NEVER),
-            key=lambda n: (n.asked_at, self.draw(n.name)),
-        )[:ASKS]
+            (n for n in site.nodes.values() if now - n.probed_at >= PROBE_INTERVAL and n.removed_at == NEVER),
+            key=lambda n: (n.probed_at, self.keyed_hash(n.name)),
+        )[:PROBES_PER_CHECK]
         for node in due:
-            node.asked_at = now
-        return [("ask", node.name) for node in due]
+            node.probed_at = now
+        return [("probe", node.name) for node in due]
 
-    def speak(self, now: int):
-        """Say what this front has seen of sites that are not whole, or that others hold dead.
+    def report_to_peers(self, now: int):
+        """Report this front's observations of sites that are not WHOLE, or that others report dead.
 
-        Danger: what it has only heard goes no further, and a front that can have nobody anywhere says
-        nothing: it knows of itself alone.
+        Other fronts' reports are not passed on, and a front that reaches no node anywhere reports nothing:
+        its observations are about itself alone.
         """
         rows = []
         for site in self.sites.values():
-            nodes = [n for n in site.nodes.values() if not n.leaving]
-            had = [n for n in nodes if self.had(now, n)]
-            # a word unasked shows that the node lives, even where this front can't ask it
-            lives = [n for n in nodes if now - n.spoke_at <= FRESH and n.spoke_at > n.failed_at]
-            if site.state == LOST and not lives and not self.cut_off(now, site):
+            nodes = [n for n in site.nodes.values() if not n.draining]
+            reachable = [n for n in nodes if self.is_reachable(now, n)]
+            # An unrequested message shows that the node is alive, even where this front can't reach it.
+            alive = [n for n in nodes if now - n.heard_at <= SILENCE_TIMEOUT and n.heard_at > n.failed_at]
+            if site.state == LOST and not alive and not self.is_isolated(now, site):
                 rows.append((site.name, True, now - max(n.failed_at for n in nodes) if nodes else 0))
             elif (
-                lives
-                and (site.state != WHOLE or now - site.disputed_at < AGE)
-                and len(had or lives) >= TOLD * len(nodes)
+                alive
+                and (site.state != WHOLE or now - site.disputed_at < REPORT_LIFETIME)
+                and len(reachable or alive) >= LOST_FRACTION_WITH_PEERS * len(nodes)
             ):
-                rows.append((site.name, False, now - max(n.spoke_at for n in lives)))
+                rows.append((site.name, False, now - max(n.heard_at for n in alive)))
         if not rows:
             return []
-        self.draws += 1
-        turn = sorted(self.living, key=lambda peer: self.draw(f"{peer}:{self.draws}"))[:TO]
-        return [("say", peer, rows) for peer in turn]
+        self.draw_count += 1
+        recipients = sorted(self.live_peers, key=lambda peer: self.keyed_hash(f"{peer}:{self.draw_count}"))[
+            :REPORT_FANOUT
+        ]
+        return [("report", peer, rows) for peer in recipients]
 
-    # ---- small helpers
+    # ---- helpers
 
-    def hidden(self) -> set[str]:
-        """Nodes that the module is told are gone."""
+    def hidden_nodes(self) -> set[str]:
+        """Names of the nodes that the module was told are gone."""
         return {n.name for n in self.nodes.values() if n.hidden}
 
-    def missing(self) -> float:
-        """The part of the sites that are not whole whose nodes get no plays."""
+    def hidden_fraction(self) -> float:
+        """The fraction of hidden nodes at the sites that are LOST or RETURNING; 0 without such sites."""
         nodes = [n for s in self.sites.values() if s.state in (LOST, RETURNING) for n in s.nodes.values()]
         return sum(n.hidden for n in nodes) / len(nodes) if nodes else 0.0
 
     def cold_since(self, name: str) -> int | None:
-        """Since when a node that was let in again is to be taken for cold; None: as the list says.
+        """When a node was readmitted with cold caches; None: its start is as the list gives it.
 
-        Danger: a list that is late calls a process that has just begun an old one.
+        A list that is late would otherwise describe a process that has just started as an old one.
         """
         node = self.nodes.get(name)
-        return node.shown_at if node is not None and node.shown_at != NEVER and not node.lived else None
+        return (
+            node.readmitted_at
+            if node is not None and node.readmitted_at != NEVER and not node.survived
+            else None
+        )
 
     def state(self) -> dict:
-        """For `/v1/state`."""
+        """The sites for `/v1/state`."""
         return {
             s.name: {
                 "state": s.state,
-                "fleet": s.fleet,
+                "fleet": s.fleet_wide,
                 "nodes": len(s.nodes),
                 "failing": sum(n.failing for n in s.nodes.values()),
                 "hidden": sum(n.hidden for n in s.nodes.values()),
-                "witnesses": sorted(peer for peer, word in s.words.items() if word.dead),
+                "witnesses": sorted(peer for peer, report in s.peer_reports.items() if report.dead),
             }
             for s in sorted(self.sites.values(), key=lambda s: s.name)
         }
 
-    def draw(self, what: str) -> int:
-        return crc32(f"{self.seed}:{self.me}:{what}".encode())
+    def keyed_hash(self, key: str) -> int:
+        """A pseudo-random number for the key, different at each front."""
+        return crc32(f"{self.seed}:{self.own_index}:{key}".encode())
 
-    def chance(self, below: int) -> int:
-        self.draws += 1
-        return crc32(f"{self.seed}:{self.me}:site:{self.draws}".encode()) % max(1, below)
+    def random_below(self, bound: int) -> int:
+        """A pseudo-random number from 0 to `bound - 1`."""
+        self.draw_count += 1
+        return crc32(f"{self.seed}:{self.own_index}:site:{self.draw_count}".encode()) % max(1, bound)
--- a/curlewhall/sites/plan.py
+++ b/curlewhall/sites/plan.py
@@ -1,33 +1,40 @@
-"""What the loss of a site would cost, reckoned while all is well, and what is refused when it has come. No
-I/O.
-
-The design admits sessions while there is room and keeps the lowest-worth class to a slice of each server, so
-that streams are left for dearer ones ("Access Policies for Distributed Video-on-Demand Systems"). A site that
-is lost takes room away and leaves what is asked as it was. So the slice of the lowest class shrinks by what
-is missing, then that of the next: a product's *part* is what there is room for of it, and by that the module
-is told up to which part of a node's room it is placed.
+"""Computes what the loss of each site would cost, and how much load to shed after a loss. No I/O.
+
+Sessions are admitted while there is room, and the least important products are limited to a part of each
+server, so that streams remain for the others ("Access Policies for Distributed Video-on-Demand Systems"). The
+loss of a site reduces the capacity and leaves the demand as it was. So the part of the least important
+product shrinks by what is missing, then that of the next one. The placeable fraction of a product is what
+there is still capacity for; the module is told up to which fraction of a node's capacity it may place each
+product.
+
+Bandwidths are kB a second, times are ticks (tenths of a millisecond).
 """
 
 from collections import Counter
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-SECOND = 10_000
-USABLE = 0.9  # of a link or uplink: what the rung rule fills
-HEARD = 15 * SECOND  # a report that old says nothing any more
-SMOOTH = 0.1  # of each second's look that goes into the mix of products: ten seconds, longer than a burst
-TICK = SECOND  # between two corrections: about what a report takes to show the one before
-MORE, LESS = 0.03, 0.03  # of all that is asked: refused more, less, in a second; plays last for several
-TRIM = 0.2  # the most that is refused beyond what the plan says
-TIGHT, EASY = 0.95, 0.8  # of the room that is left in use: more is refused above, less below
-LOWEST = 0.45  # of a node's room that the cheapest may use even when all of it would have to be refused
-NEXT = 0.95  # the same for products that are not refused yet: the last of it is for those that are kept
-LAST = 0.9  # of all that is asked: no more than that is ever refused for a lost site
-
-
-class Place(NamedTuple):
-    """A node as room: its site, its rack, the place whose titles it holds, its link, and what of that is
-    used, in kB a second (None: not known).
+TICKS_PER_SECOND = 10_000
+USABLE_FRACTION = 0.9  # of a link or uplink: how far the rung rule fills it
+REPORT_LIFETIME = 15 * TICKS_PER_SECOND  # after which a load report is ignored
+DEMAND_SMOOTHING = 0.1  # weight of each second's sample in the product mix: 10 s, longer than a burst
+ADJUST_INTERVAL = TICKS_PER_SECOND  # between corrections: about what a report takes to show the last one
+# Steps a second, as fractions of the demand; small, because plays last for several seconds.
+RAISE_STEP = 0.03
+LOWER_STEP = 0.03
+MAX_CORRECTION = 0.2  # the most that is refused beyond the computed fraction
+# Use of the remaining capacity: more is refused above the first, less below the second.
+HIGH_USE = 0.95
+LOW_USE = 0.8
+MIN_NODE_LIMIT = 0.45  # of a node's capacity: stays open to a product that is refused entirely
+UNREFUSED_NODE_LIMIT = 0.95  # for products not refused yet; the rest is for protected products
+MAX_REFUSED = 0.9  # of the demand: never more is refused for a lost site
+
+
+class NodeCapacity(NamedTuple):
+    """A node as capacity: its site, its rack, the place whose titles it holds, its link and its use.
+
+    `used` is None where it is not known.
     """
 
     site: str
@@ -37,173 +44,213 @@
     used: float | None
 
 
-class Cost(NamedTuple):
-    """What the loss of a site would do: `parts` of each product that could still be placed; what would be
-    asked over the room left; titles whose holders would be one, or none.
-    """
+class LossCost(NamedTuple):
+    """What the loss of a site would do."""
 
-    parts: dict[str, float]
-    asked: float
-    room: float
-    single: int
-    none: int
+    placeable: dict[str, float]  # product -> the fraction that could still be placed
+    demand: float
+    capacity: float  # of the other sites
+    single_holder_titles: int  # titles that one node would be left to hold
+    unheld_titles: int  # titles that no node would hold
 
     @property
     def bearable(self) -> bool:
-        return self.asked <= self.room
+        """Whether the other sites have capacity for the whole demand."""
+        return self.demand <= self.capacity
 
 
-def parts(
-    asked: Mapping[str, float], importance: Mapping[str, float], kept: Iterable[str], refused: float
+def placeable_fractions(
+    demand: Mapping[str, float], importance: Mapping[str, float], protected: Iterable[str], refused: float
 ) -> dict[str, float]:
-    """Of each product the part that is placed when `refused` (kB a second) of all is not: the least important
-    goes first, down to nothing, then the next. What is `kept` is never refused for this.
+    """The fraction of each product that is placed if `refused` of the total demand is not.
+
+    The least important product is refused first, down to nothing, then the next one. Products in `protected`
+    are never refused.
     """
-    found = dict.fromkeys(asked, 1.0)
-    for product in sorted(asked.keys() - set(kept), key=lambda name: (importance.get(name, 0.0), name)):
-        away = min(max(0.0, refused), asked[product])
-        refused -= away
-        found[product] = 1 - away / asked[product] if asked[product] > 0 else 1.0
-    return found
+    fractions = dict.fromkeys(demand, 1.0)
+    for product in sorted(demand.keys() - set(protected), key=lambda name: (importance.get(name, 0.0), name)):
+        cut = min(max(0.0, refused), demand[product])
+        refused -= cut
+        fractions[product] = 1 - cut / demand[product] if demand[product] > 0 else 1.0
+    return fractions
 
 
-class Plan:
-    """The cost of each site's loss, from the list and the present load.
+class LossPlan:
+    """The cost of each site's loss, computed from the node list and the present load.
 
-    `terms`: product -> (importance, whether a set-up is paid for). `uplink`: of a rack, in kB a second.
-    `places`: how many there are; a title lies on some in a row, past the last on the first again.
+    `terms`: product -> (importance, whether a set-up is paid for). `uplink`: capacity of a rack's uplink, 0
+    for unlimited. `place_count`: number of places; a title lies on consecutive places, the first following
+    the last.
     """
 
-    def __init__(self, terms: Mapping[str, tuple[float, bool]], uplink: float, places: int) -> None:
-        self.terms, self.uplink, self.places = dict(terms), uplink, max(1, places)
+    def __init__(self, terms: Mapping[str, tuple[float, bool]], uplink: float, place_count: int) -> None:
+        self.terms = dict(terms)
+        self.uplink = uplink
+        self.place_count = max(1, place_count)
         self.importance = {name: importance for name, (importance, _) in self.terms.items()}
         top = max(self.importance.values(), default=0.0)
-        # a play that was paid for is not given up for one that was not; the dearest product is what room is
-        # for
-        self.kept = {name for name, (importance, paid) in self.terms.items() if paid or importance >= top}
-        self.mix: dict[str, float] = {}  # product -> kB a second that its plays need at entry, smoothed
-        self.spare = 1.0  # what the plays held need at entry over what they have now
-        self.cells: Counter = Counter()  # (first place, places) -> titles
-        self.costs: dict[str, Cost] = {}
-
-    def titles(self, cells: Iterable[tuple[int, int]]) -> None:
-        """Where titles lie. Kept as classes: a hundred thousand titles are a few hundred of those."""
-        self.cells = Counter(cells)
-
-    def held(self, entry: Mapping[str, float], now_used: float) -> None:
-        """What this front's plays need at the rung of entry, by product, and what they use now."""
+        # A paid play is not given up for an unpaid one, and the most important product is what capacity is
+        # kept for.
+        self.protected = {
+            name for name, (importance, paid) in self.terms.items() if paid or importance >= top
+        }
+        self.entry_demand: dict[str, float] = {}  # product -> bandwidth of its plays at entry rung, smoothed
+        self.entry_ratio = 1.0  # bandwidth of the held plays at entry rung over what they use now
+        self.title_classes: Counter = Counter()  # (first place, number of places) -> titles
+        self.costs: dict[str, LossCost] = {}
+
+    def set_titles(self, title_classes: Iterable[tuple[int, int]]) -> None:
+        """Set where titles lie: (first place, number of places) of each; 100,000 titles are a few classes."""
+        self.title_classes = Counter(title_classes)
+
+    def record_plays(self, entry_demand: Mapping[str, float], used: float) -> None:
+        """Record what this front's plays need at the entry rung, by product, and what they use now."""
         for product in self.terms:
-            was = self.mix.get(product, entry.get(product, 0.0))
-            self.mix[product] = was + SMOOTH * (entry.get(product, 0.0) - was)
-        if now_used > 0:
-            self.spare += SMOOTH * (min(1.0, sum(entry.values()) / now_used) - self.spare)
-
-    def share(self) -> dict[str, float]:
-        """Each product's part of all that is asked; even parts until a play was held."""
-        whole = sum(self.mix.values())
+            previous = self.entry_demand.get(product, entry_demand.get(product, 0.0))
+            self.entry_demand[product] = previous + DEMAND_SMOOTHING * (
+                entry_demand.get(product, 0.0) - previous
+            )
+        if used > 0:
+            self.entry_ratio += DEMAND_SMOOTHING * (
+                min(1.0, sum(entry_demand.values()) / used) - self.entry_ratio
+            )
+
+    def demand_shares(self) -> dict[str, float]:
+        """Each product's share of the demand; equal shares until a play was recorded."""
+        total = sum(self.entry_demand.values())
         return {
-            name: self.mix.get(name, 0.0) / whole if whole else 1 / len(self.terms) for name in self.terms
+            name: self.entry_demand.get(name, 0.0) / total if total else 1 / len(self.terms)
+            for name in self.terms
         }
 
-    def room(self, places: Iterable[Place]) -> float:
-        """What these nodes bear together: their links, and no more of a rack than its uplink."""
+    def capacity(self, nodes: Iterable[NodeCapacity]) -> float:
+        """The usable capacity of these nodes: their links, limited by each rack's uplink."""
         racks: dict[int, float] = {}
-        for place in places:
-            racks[place.rack] = racks.get(place.rack, 0.0) + place.link
-        return USABLE * sum(min(links, self.uplink) if self.uplink else links for links in racks.values())
-
-    def used(self, places: list[Place]) -> float:
-        """What is used on all; a node that nobody heard of counts as the average of the others."""
-        heard = [(p.used, p.link) for p in places if p.used is not None]
-        links = sum(link for _, link in heard)
-        mean = sum(used for used, _ in heard) / links if links else 0.0
-        return sum(mean * p.link if p.used is None else p.used for p in places)
-
-    def reckon(self, rows: list[Place]) -> dict[str, Cost]:
-        """Anew for every site. One walk over nodes and one over classes of titles for each."""
-        asked = self.used(rows) * self.spare
-        need = {name: part * asked for name, part in self.share().items()}
+        for node in nodes:
+            racks[node.rack] = racks.get(node.rack, 0.0) + node.link
+        return USABLE_FRACTION * sum(
+            min(links, self.uplink) if self.uplink else links for links in racks.values()
+        )
+
+    def used(self, nodes: list[NodeCapacity]) -> float:
+        """The bandwidth used on all nodes; a node without a report counts as the average of the others."""
+        reported = [(n.used, n.link) for n in nodes if n.used is not None]
+        links = sum(link for _, link in reported)
+        mean = sum(used for used, _ in reported) / links if links else 0.0
+        return sum(mean * n.link if n.used is None else n.used for n in nodes)
+
+    def compute_costs(self, nodes: list[NodeCapacity]) -> dict[str, LossCost]:
+        """Compute the cost of every site's loss, with one pass over nodes and title classes for each."""
+        demand = self.used(nodes) * self.entry_ratio
+        demand_by_product = {name: share * demand for name, share in self.demand_shares().items()}
         self.costs = {}
-        for site in sorted({p.site for p in rows}):
-            rest = [p for p in rows if p.site != site]
-            room = self.room(rest)
-            holders = Counter(p.place for p in rest)
-            left = [
-                (sum(holders[(first + i) % self.places] for i in range(min(row, self.places))), titles)
-                for (first, row), titles in self.cells.items()
+        for site in sorted({n.site for n in nodes}):
+            remaining = [n for n in nodes if n.site != site]
+            capacity = self.capacity(remaining)
+            holders = Counter(n.place for n in remaining)
+            holders_left = [
+                (
+                    sum(holders[(first + i) % self.place_count] for i in range(min(row, self.place_count))),
+                    titles,
+                )
+                for (first, row), titles in self.title_classes.items()
             ]
-            self.costs[site] = Cost(
-                parts(need, self.importance, self.kept, asked - room),
-                asked,
-                room,
-                sum(t for n, t in left if n == 1),
-                sum(t for n, t in left if n == 0),
+            self.costs[site] = LossCost(
+                placeable_fractions(demand_by_product, self.importance, self.protected, demand - capacity),
+                demand,
+                capacity,
+                sum(titles for count, titles in holders_left if count == 1),
+                sum(titles for count, titles in holders_left if count == 0),
             )
         return self.costs
 
 
-class Shedding:
-    """How much of all that is asked is refused while a site is missing.
+class LoadShedder:
+    """How much of the demand is refused while a site is lost.
 
-    What was asked before the loss, over the room that there is now, tells most of it; it falls by itself as
-    nodes return. That may be wrong by a third (crowds come back, rungs change, a front knows little), so it
-    is trimmed by what is seen: up while the nodes that are left are full and dearer plays are turned away,
-    down while they have room. Danger: what is refused shows in the load only once plays have ended, so a trim
-    that went on growing would refuse all. It has bounds, and goes slowly. The dearest product is the first to
-    be taken whole again, the cheapest the last.
+    The base value is what the demand before the loss exceeds the present capacity by; it falls by itself as
+    nodes return. It may be wrong by a third (viewers come back, rungs change, one front observes little), so
+    a correction follows the load: up while the remaining nodes are full and more important plays are
+    declined, down while they have capacity. A refusal shows in the load only after other plays have ended, so
+    an unbounded correction would grow until everything is refused. Therefore it is bounded and changes
+    slowly. The most important product is the first to be accepted in full again, the least important the
+    last.
     """
 
-    def __init__(self, plan: Plan) -> None:
-        self.plan, self.asked, self.base, self.trim, self.turned, self.at = plan, 0.0, 0.0, 0.0, 0, 0
-        self.on, self.missing = False, 1.0
-
-    def begin(self, now: int, asked: float) -> None:
-        """The fleet has lost a site; `asked`: what was asked of it all before, in kB a second."""
-        if not self.on:
-            self.on, self.asked, self.trim, self.turned, self.at = True, asked, 0.0, 0, now
+    def __init__(self, plan: LossPlan) -> None:
+        self.plan = plan
+        self.demand_before = 0.0
+        self.base = 0.0
+        self.correction = 0.0
+        self.inversions = 0  # declined plays, since the last adjustment, more important than accepted ones
+        self.adjusted_at = 0
+        self.active = False
+        self.hidden_fraction = 1.0
+
+    def start(self, now: int, demand_before: float) -> None:
+        """The fleet has lost a site; `demand_before`: the demand on the fleet before the loss."""
+        if not self.active:
+            self.active = True
+            self.demand_before = demand_before
+            self.correction = 0.0
+            self.inversions = 0
+            self.adjusted_at = now
 
     @property
     def refused(self) -> float:
-        # as the room comes back less is refused, whatever the trim was
-        return min(LAST, max(0.0, self.base + self.trim * self.missing)) if self.on else 0.0
-
-    def declined(self, product: str) -> None:
-        """The module found no room for a play of this product."""
-        found, importance = self.placed(), self.plan.importance
-        if found[product] >= 1 and any(
-            importance[name] < importance[product] and name not in self.plan.kept and part > 0
-            for name, part in found.items()
+        """The fraction of the demand to refuse; shrinks as capacity returns, whatever the correction was."""
+        return (
+            min(MAX_REFUSED, max(0.0, self.base + self.correction * self.hidden_fraction))
+            if self.active
+            else 0.0
+        )
+
+    def play_declined(self, product: str) -> None:
+        """The module declined a play of this product for lack of room."""
+        fractions, importance = self.placeable(), self.plan.importance
+        if fractions[product] >= 1 and any(
+            importance[name] < importance[product] and name not in self.plan.protected and fraction > 0
+            for name, fraction in fractions.items()
         ):
-            self.turned += 1  # something less important is still taken in its place
+            self.inversions += 1  # a less important product is still accepted
 
-    def room(self, room: float, missing: float) -> None:
-        """What the nodes that may have plays bear now, and the part of the lost sites that has none yet."""
-        self.missing = missing
-        self.base = max(0.0, 1 - room / self.asked) if self.asked > 0 else 0.0
+    def set_capacity(self, capacity: float, hidden_fraction: float) -> None:
+        """Set the capacity of the usable nodes, and which fraction of the lost sites is still unused."""
+        self.hidden_fraction = hidden_fraction
+        self.base = max(0.0, 1 - capacity / self.demand_before) if self.demand_before > 0 else 0.0
 
-    def tick(self, now: int, full: float | None) -> None:
-        """Once in a while. `full`: use over room of what is left, None where nothing was heard."""
-        if not self.on or now - self.at < TICK:
-            return
-        if full is not None and full > TIGHT and self.turned:
-            self.trim = min(TRIM, self.trim + MORE)
-        elif full is not None and full < EASY:
-            self.trim = max(-1.0, self.trim - LESS)
-        self.turned, self.at = 0, now
+    def adjust(self, now: int, use: float | None) -> None:
+        """Correct the refused fraction once per interval.
 
-    def end(self) -> None:
-        self.on = False
-
-    def placed(self) -> dict[str, float]:
-        """Of each product the part that there is room for."""
-        return parts(self.plan.share(), self.plan.importance, self.plan.kept, self.refused)
-
-    def parts(self) -> dict[str, float]:
-        """Up to what part of a node's room each product is placed; those that are as ever left out."""
+        `use`: used over available capacity of the remaining nodes; None without reports.
+        """
+        if not self.active or now - self.adjusted_at < ADJUST_INTERVAL:
+            return
+        if use is not None and use > HIGH_USE and self.inversions:
+            self.correction = min(MAX_CORRECTION, self.correction + RAISE_STEP)
+        elif use is not None and use < LOW_USE:
+            self.correction = max(-1.0, self.correction - LOWER_STEP)
+        self.inversions = 0
+        self.adjusted_at = now
+
+    def stop(self) -> None:
+        """No site is lost to the fleet any more."""
+        self.active = False
+
+    def placeable(self) -> dict[str, float]:
+        """The fraction of each product that there is capacity for."""
+        return placeable_fractions(
+            self.plan.demand_shares(), self.plan.importance, self.plan.protected, self.refused
+        )
+
+    def node_limits(self) -> dict[str, float]:
+        """Up to which fraction of a node's capacity each product is placed; unlimited ones are left out."""
         if not self.refused:
             return {}
         return {
-            name: round(LOWEST + (USABLE - LOWEST) * part, 2) if part < 1 else NEXT
-            for name, part in self.placed().items()
-            if name not in self.plan.kept
+            name: round(MIN_NODE_LIMIT + (USABLE_FRACTION - MIN_NODE_LIMIT) * fraction, 2)
+            if fraction < 1
+            else UNREFUSED_NODE_LIMIT
+            for name, fraction in self.placeable().items()
+            if name not in self.plan.protected
         }
--- a/curlewhall/sites/state.py
+++ b/curlewhall/sites/state.py
@@ -1,69 +1,71 @@
-"""What a front holds of sites, by lifetime: of a node while it is listed or missed, of a site for good, of
-another front's word until it is too old to count."""
+"""Records of site monitoring: evidence on nodes, the state of sites, and reports of other fronts.
+
+All times are ticks (tenths of a millisecond) on the front's own clock.
+"""
 
 from dataclasses import dataclass, field
 
-NEVER = -(1 << 62)  # a time before all others
+NEVER = -(1 << 62)  # earlier than every time
 WHOLE, DOUBTED, LOST, RETURNING = "whole", "doubted", "lost", "returning"
 
 
 @dataclass(slots=True)
 class Node:
-    """A node as its site's evidence. Times are tenths of a millisecond on the front's own clock."""
+    """What this front has observed of one node."""
 
     name: str
     site: str
-    started: int  # as the list last told, on the list's own count
-    failed_at: int = NEVER  # the latest failure, and how it showed
-    how: str = ""
-    fails: int = 0  # failures since the last answer that lie apart
-    refused: bool = False  # one of those was a refusal: whoever had the address is gone
-    late_at: int = NEVER  # when a set-up there last took longer than it may
-    answered_at: int = NEVER  # the latest answer to something that was asked
-    spoke_at: int = NEVER  # the latest word of any kind
-    asked_at: int = NEVER  # when it was last asked for this front's own sake
-    gone_at: int = NEVER  # when the list took it away while it was wanted; NEVER: it is listed
-    leaving: bool = False  # the list had said that it drains: its end is no loss
-    hidden: bool = False  # the module is told that it is gone
-    shown_at: int = NEVER  # when it was let in again
-    lived: bool = False  # it shows plays from before: the same process, warm
+    started: int  # start time as the list last gave it, in the list's own unit
+    failed_at: int = NEVER  # the latest failure
+    failure_kind: str = ""  # of the latest failure: "refused", "reset", "silent", ...
+    failure_count: int = 0  # separate failures since the last answer
+    refused: bool = False  # one of those was a refusal: the process at that address is gone
+    late_at: int = NEVER  # when a set-up there last exceeded its time limit
+    answered_at: int = NEVER  # the latest answer to a request
+    heard_at: int = NEVER  # the latest message of any kind
+    probed_at: int = NEVER  # when site monitoring last probed it
+    removed_at: int = NEVER  # when the list removed it without a drain; NEVER: it is listed
+    draining: bool = False  # the list announced its drain: its end is no loss
+    hidden: bool = False  # the module was told that it is gone
+    readmitted_at: int = NEVER  # when the module was told that it is back
+    survived: bool = False  # it still has plays from before the loss: the same process, with warm caches
 
     @property
     def failing(self) -> bool:
-        """Whether the latest thing that was asked of it came to nothing."""
+        """Whether the latest request to it failed."""
         return self.failed_at > self.answered_at
 
     @property
-    def doubtful(self) -> bool:
-        """Failing, or slow; Danger: a slow node answers in the end, and is not lost."""
+    def degraded(self) -> bool:
+        """Whether it is failing or slow. A slow node answers in the end, so this alone is no loss."""
         return self.failing or self.late_at > self.answered_at
 
     @property
-    def sure(self) -> bool:
-        """Whether it failed more than once, or its own machine said that nobody is there."""
-        return self.failing and (self.refused or self.fails >= 2)
+    def confirmed_down(self) -> bool:
+        """Whether it failed more than once, or its machine refused the connection."""
+        return self.failing and (self.refused or self.failure_count >= 2)
 
 
 @dataclass(slots=True)
-class Word:
-    """What another front says of a site, of its own evidence alone."""
+class PeerReport:
+    """What another front reports of a site, from its own evidence alone."""
 
     dead: bool
-    at: int  # when the evidence was had: its arrival less the age that it tells
+    observed_at: int  # arrival of the report minus the age that it states
 
 
 @dataclass(slots=True)
 class Site:
-    """One site, and what is held of it."""
+    """One site, its state and its nodes."""
 
     name: str
     state: str = WHOLE
-    since: int = NEVER
-    hold: int = 0  # for how long after a loss nothing of it is taken back
+    since: int = NEVER  # of the state
+    hold_ticks: int = 0  # how long after a loss none of its nodes is readmitted
     lost_at: int = NEVER
-    let_in: int = 0  # how many of its nodes may have plays while it returns
-    step_at: int = NEVER  # when that may grow next
-    fleet: bool = False  # whether the loss is the fleet's, not this front's alone
-    words: dict[int, Word] = field(default_factory=dict)  # by front
+    admission_limit: int = 0  # how many of its nodes may have plays while it returns
+    next_step_at: int = NEVER  # when `admission_limit` may grow next
+    fleet_wide: bool = False  # whether the whole fleet has lost it, not only this front
+    peer_reports: dict[int, PeerReport] = field(default_factory=dict)  # by index of the front
     nodes: dict[str, Node] = field(default_factory=dict)
-    disputed_at: int = NEVER  # when a word came that this front's own evidence speaks against
+    disputed_at: int = NEVER  # when a report came that contradicts this front's own evidence
--- a/tests/console/test_console.py
+++ b/tests/console/test_console.py
@@ -175,7 +175,7 @@
         assert 'curlewhall_site_if_lost_titles{holders="0",site="north"}' in text
         assert "curlewhall_refused_for_sites 0.0" in text
         place.fleet.fault("site:north", "die", 1)
-        await until(lambda: watch.sites.sites["north"].state == "lost")
+        await until(lambda: watch.detector.sites["north"].state == "lost")
         text = await place.text("/metrics")
         assert 'curlewhall_site_nodes_without_plays{site="north"} 4.0' in text
 
--- a/tests/sites/test_sites_drills.py
+++ b/tests/sites/test_sites_drills.py
@@ -1,4 +1,4 @@
-"""Whole sites over processes: what is kept is found kept, and watches that do harm are caught."""
+"""Drills that lose whole sites, with processes: the rules hold, and a harmful detector is reported."""
 
 import pytest
 from loopback import run_drills
@@ -9,7 +9,7 @@
 CALLS = {
     "return": ["site-return", *DAY],
     "cut": ["site-cut", *DAY],
-    "flap": ["site-flap", "--draw", "6", *DAY],  # a cut; once misread by the judge
+    "flap": ["site-flap", "--draw", "6", *DAY],  # a cut, which the judge once misread
     "alarmist": ["site-return", *DAY, "--sites", "curlewhall.drills.breakers:Alarmist"],
 }
 
@@ -20,12 +20,12 @@
 
 
 @pytest.mark.parametrize("name", ["return", "cut", "flap"])
-def test_a_site_that_goes_breaks_no_rule(days, name):
+def test_loss_of_a_site_breaks_no_rule(days, name):
     code, found, said = days[name]
     assert code == 0, said
     assert found["broken"] == {} and found["plays"] > 20 and found["falls"] == 0 and found["fronts"] == 4
 
 
-def test_a_watch_that_declares_without_evidence_is_caught(days):
+def test_detector_that_declares_a_loss_without_evidence_is_reported(days):
     code, found, said = days["alarmist"]
     assert code == 1 and not found["claims"]["shunned"]["holds"], said
