--- a/bench/start.py
+++ b/bench/start.py
@@ -13,7 +13,7 @@
 from itertools import chain, count, repeat
 from pathlib import Path
 
-from curlewhall.start import Asks, Borrows, Lends, Turns
+from curlewhall.start import ListSubscription, PeerListLimiter, PeerListRequests, StreamSchedule
 
 SIZES = (10, 40, 200, 1000)
 WHOLE, SHORT = 24_000, 60  # bytes
@@ -25,8 +25,8 @@
 
 
 def drawn(seed, fronts):
-    front = Asks(seed, fronts)
-    return front.begin("", 0), lambda: front.ended(1.0)
+    front = ListSubscription(seed, fronts)
+    return front.first_delay("", 0), lambda: front.retry_delay(1.0)
 
 
 def at_99(times, fronts):
@@ -61,9 +61,11 @@
     """A fleet that starts at one moment: what service and peers are asked for and give; when 99 in 100 have a
     list, and when the service has confirmed it.
     """
-    asks = [Asks(seed, fronts, peers) for seed in range(fronts)]
-    borrows = [Borrows(seed, [p for p in range(fronts) if p != seed], fronts) for seed in range(fronts)]
-    lends = [Lends() for _ in range(fronts)]
+    asks = [ListSubscription(seed, fronts, peers) for seed in range(fronts)]
+    borrows = [
+        PeerListRequests(seed, [p for p in range(fronts) if p != seed], fronts) for seed in range(fronts)
+    ]
+    lends = [PeerListLimiter() for _ in range(fronts)]
     had, confirmed, due, order = dict.fromkeys(range(fronts), 0.0) if kept else {}, {}, [], count()
     seconds, wholes, size, lent = Counter(), Counter(), Counter(), Counter()
 
@@ -71,10 +73,10 @@
         heapq.heappush(due, (when, next(order), what, front))
 
     for front in range(fronts):
-        first = asks[front].begin("a" if kept and confirm else "", 7 if kept else 0)
+        first = asks[front].first_delay("a" if kept and confirm else "", 7 if kept else 0)
         at(first if jitter else 0.0, "service", front)
         if peers and not kept:
-            at(borrows[front].begin(True), "peer", front)
+            at(borrows[front].first_delay(True), "peer", front)
     while due and len(confirmed) < fronts:
         now, _, what, front = heapq.heappop(due)
         if what == "service":
@@ -83,24 +85,24 @@
             if short or wholes[int(now)] < capacity:
                 wholes[int(now)] += not short
                 size[int(now)] += SHORT if short else WHOLE
-                asks[front].whole("a", 7)
+                asks[front].accept_full_list("a", 7)
                 had.setdefault(front, now)
                 confirmed[front] = now
             else:
-                at(now + (asks[front].ended(retry) if jitter else 1.0), "service", front)
+                at(now + (asks[front].retry_delay(retry) if jitter else 1.0), "service", front)
         elif front not in confirmed:
-            peer = borrows[front].next(now)
+            peer = borrows[front].next_peer(now)
             if peer is None or peer not in had:
-                at(now + borrows[front].ended(now, peer, False), "peer", front)
+                at(now + borrows[front].next_delay(now, peer, False), "peer", front)
             elif front in had:  # whether its list still stands: a short answer
-                at(now + borrows[front].ended(now, peer, True), "peer", front)
-            elif lends[peer].may(now):
+                at(now + borrows[front].next_delay(now, peer, True), "peer", front)
+            elif lends[peer].allow(now):
                 lent[peer, int(now)] += 1
                 had[front] = now
-                asks[front].lent("a", 7)
-                at(now + borrows[front].ended(now, peer, True), "peer", front)
+                asks[front].adopt_peer_list("a", 7)
+                at(now + borrows[front].next_delay(now, peer, True), "peer", front)
             else:
-                at(now + borrows[front].ended(now, peer, False, 1.0), "peer", front)
+                at(now + borrows[front].next_delay(now, peer, False, 1.0), "peer", front)
     return {
         "asks_in_a_second": max(seconds.values()),
         "wholes": sum(wholes.values()),
@@ -117,7 +119,8 @@
     most = 0
     for node in range(nodes):
         seconds = Counter(
-            int(Turns(i, i, fronts).wait(f"n{node:03}") if drawn else 0.0) for i in range(fronts)
+            int(StreamSchedule(i, i, fronts).start_delay(f"n{node:03}") if drawn else 0.0)
+            for i in range(fronts)
         )
         most = max(most, *seconds.values())
     return most
@@ -129,10 +132,10 @@
     """
     seconds, there = Counter(), []
     for i in range(fronts):
-        waits, fixed = Turns(i, i, fronts).back(), chain((0.1, 0.3, 1.0), repeat(2.0))
+        waits, fixed = StreamSchedule(i, i, fronts).reconnect_backoff(), chain((0.1, 0.3, 1.0), repeat(2.0))
         now = 0.0
         while True:
-            now += waits.next() if drawn else next(fixed)
+            now += waits.next_delay() if drawn else next(fixed)
             seconds[int(now)] += 1
             if now >= down:
                 there.append(now)
--- a/curlewhall/daemon/handover.py
+++ b/curlewhall/daemon/handover.py
@@ -142,9 +142,11 @@
         follower = front.follower
         rows, titles = list(follower.rows.values()), list(follower.titles.values())
         for few in pieces(rows):
-            say("list", _pack(Lists(few, [], follower.version, sorted(follower.drained), follower.asks.life)))
+            say(
+                "list", _pack(Lists(few, [], follower.version, sorted(follower.drained), follower.asks.epoch))
+            )
         for few in pieces(titles):
-            say("list", _pack(Lists([], few, follower.version, [], follower.asks.life)))
+            say("list", _pack(Lists([], few, follower.version, [], follower.asks.epoch)))
         for few in pieces((name, node.since) for name, node in front.nodes.nodes.items()):
             say("known", _pack(few))
         for few in pieces(self.reports()):
@@ -360,7 +362,7 @@
         follower.rows = {row.node: row for row in self.rows}
         follower.titles = {title.title: title for title in self.titles}
         front.viewers.titles, follower.version = follower.titles, self.version
-        follower.asks.life = self.life
+        follower.asks.epoch = self.life
         shown = [follower.shown(row) for row in self.rows]
         front.nodes.listed([row for row in shown if row.state != "gone"], whole=True)
         for name, node in front.nodes.nodes.items():
--- a/curlewhall/front/listing.py
+++ b/curlewhall/front/listing.py
@@ -9,8 +9,15 @@
 
 from curlewhall.errors import describe
 from curlewhall.inventory.form import Inventory
-from curlewhall.start import Asks, Belief, Churn, Stamp, age, ready
-from curlewhall.start.decide import UNREADY
+from curlewhall.start import (
+    ListChangeRate,
+    ListSubscription,
+    NodeTrust,
+    Timestamp,
+    is_ready,
+    seconds_between,
+)
+from curlewhall.start.decide import READY_TIMEOUT_S
 from curlewhall.wire import forms
 from curlewhall.wire.client import Pool, Reply
 from curlewhall.wire.http import request_bytes
@@ -58,7 +65,7 @@
         self.driver, self.pool, self.front, self.kept = driver, pool, front, kept
         self.rows: dict[str, forms.Row] = {}
         self.titles: dict[str, forms.Title] = {}
-        self.asks = Asks(seed, driver.start_settings.get("fronts", 1), helped)
+        self.asks = ListSubscription(seed, driver.start_settings.get("fronts", 1), helped)
         self.lines, self.stream, self.silence, self.failing = forms.Lines(), None, None, False
         self.spoken, self.watcher = False, None  # whether the service has; the operators' files
         self.leaving = False  # the successor follows; what it hears is told to this front
@@ -71,8 +78,9 @@
         self.began, self.outcome = time.monotonic(), pool is None  # whether the service's first word is known
         self.on_ready: Callable[[], None] | None = None
         self.drained: set[str] = set()  # by this front's operator, whatever the list says
-        self.belief, self.churn = Belief(), Churn()
-        self.stamp, self.stamped = Stamp(0, "", 0.0), 0.0  # when the list was last confirmed; steady seconds
+        self.belief, self.churn = NodeTrust(), ListChangeRate()
+        self.stamp = Timestamp(0, "", 0.0)  # when the list was last confirmed
+        self.stamped = 0.0  # the same in steady seconds
 
     @property
     def version(self) -> int:
@@ -90,7 +98,7 @@
                 self.read(Path(self.kept))
             except (OSError, forms.DecodeError) as err:
                 self.driver.log.warning("the kept list can't be read", why=describe(err))
-        wait = self.asks.begin(self.asks.life, self.version)
+        wait = self.asks.first_delay(self.asks.epoch, self.version)
         if self.watcher is not None:
             self.watcher.start()
         if self.pool is not None:
@@ -100,12 +108,12 @@
     def when_ready(self, call: Callable[[], None]) -> None:
         """Call it once this front can place plays, or decline them with reason."""
         self.on_ready = call
-        self.driver.timers.after(UNREADY, self.look_ready)
+        self.driver.timers.after(READY_TIMEOUT_S, self.look_ready)
         self.look_ready()
 
     @property
     def ready(self) -> bool:
-        return ready(len(self.sure(self.rows.values())), self.outcome, time.monotonic() - self.began)
+        return is_ready(len(self.sure(self.rows.values())), self.outcome, time.monotonic() - self.began)
 
     def look_ready(self) -> None:
         if self.on_ready is not None and self.ready:
@@ -115,52 +123,52 @@
     @property
     def astray(self) -> bool:
         """Whether the list service has left this front without its word."""
-        return self.pool is not None and (self.failing or not self.spoken or self.asks.behind)
+        return self.pool is not None and (self.failing or not self.spoken or self.asks.service_is_behind)
 
     def lent(self, listing: forms.Listing, seconds: float) -> None:
         """Go by a peer's list, confirmed so long ago, if it is better than what is had."""
         if not lists.taken(self, listing, seconds):
             return
         now = stamp()
-        self.stamp = Stamp(now.unix_ms - int(1000 * seconds), now.boot, now.steady - seconds)
-        whole, before = listing.how == "whole", self.belief.unsure
+        self.stamp = Timestamp(now.unix_ms - int(1000 * seconds), now.boot_id, now.steady_s - seconds)
+        whole, before = listing.how == "whole", self.belief.untrusted
         rows = {row.node for row in (listing.rows if whole else self.rows.values())}
-        self.belief.kept(rows, self.churn.trust(seconds))
+        self.belief.use_unconfirmed_list(rows, self.churn.trust(seconds))
         if whole:
-            self.asks.lent(listing.life, listing.version)
+            self.asks.adopt_peer_list(listing.life, listing.version)
             self.take(listing, "old_copy")
         else:
-            self.tell_module([self.rows[name] for name in sorted(before - self.belief.unsure & rows)])
+            self.tell_module([self.rows[name] for name in sorted(before - self.belief.untrusted & rows)])
         self.driver.log.info("list from a peer", version=listing.version, age_s=round(seconds), whole=whole)
 
     def read(self, path: Path) -> None:
         """Go by the kept list, as far as its age lets it be believed. `OSError`, `DecodeError`."""
         old = forms.decode(forms.Listing, path.read_bytes())
         kept = old.kept or forms.Kept(unix_ms=int(path.stat().st_mtime * 1000))  # an earlier program's
-        self.stamp = Stamp(kept.unix_ms, kept.boot, kept.steady_s)
-        self.churn = Churn(kept.changes, kept.watched_s)
-        seconds = age(self.stamp, stamp())
+        self.stamp = Timestamp(kept.unix_ms, kept.boot, kept.steady_s)
+        self.churn = ListChangeRate(kept.changes, kept.watched_s)
+        seconds = seconds_between(self.stamp, stamp())
         trust = self.churn.trust(seconds)
-        self.belief.kept({row.node for row in old.rows}, trust)
+        self.belief.use_unconfirmed_list({row.node for row in old.rows}, trust)
         self.take(old, "old_copy")
-        self.asks.life = old.life
+        self.asks.epoch = old.life
         facts = {
             "nodes": len(old.rows),
             "version": old.version,
             "trust": round(trust, 3),
             "age_s": None if seconds is None else round(seconds),
         }
-        if not self.belief.unsure:
+        if not self.belief.untrusted:
             self.driver.log.info("kept list read", **facts)
         else:
-            how = "too old to be believed" if self.belief.forgotten else "old"
+            how = "too old to be believed" if self.belief.list_outdated else "old"
             self.driver.log.warning(
                 f"the kept list is {how}: nodes get plays once they have answered", **facts
             )
 
     def answered(self, name: str, named: str) -> None:
         """A node's stream began; whoever answers at its address calls itself `named`."""
-        sure = self.belief.answered(name, named)
+        sure = self.belief.node_answered(name, named)
         if sure is not None and name in self.rows:
             self.tell_module(
                 [self.rows[name] if sure else forms.msgspec.structs.replace(self.rows[name], state="gone")]
@@ -180,7 +188,7 @@
     @property
     def unsure(self) -> set[str]:
         """Nodes that get no plays, whatever the list says."""
-        return self.belief.unsure | self.driver.sites.hidden_nodes
+        return self.belief.untrusted | self.driver.sites.hidden_nodes
 
     def sure(self, rows) -> list[forms.Row]:
         """Those that may get plays, as they are shown."""
@@ -208,7 +216,7 @@
             self.stream = None
             return
         self.lines = forms.Lines()
-        target = f"/v1/list?front={self.front}&have={self.version}&life={quote(self.asks.life, safe='')}"
+        target = f"/v1/list?front={self.front}&have={self.version}&life={quote(self.asks.epoch, safe='')}"
         self.stream = self.pool.ask(
             request_bytes("GET", target, self.pool.host), 86_400.0, self.ended, tell=self.told
         )
@@ -233,30 +241,30 @@
     def line(self, listing: forms.Listing) -> None:
         self.failing = False
         if listing.how == "whole":
-            if self.asks.whole(listing.life, listing.version):
+            if self.asks.accept_full_list(listing.life, listing.version):
                 self.heard(changed(self.rows, listing.rows, whole=True))
                 self.take(listing, "whole")
             else:
                 self.driver.log.warning(
                     "the list service is behind what this front knows",
-                    have=self.asks.latest,
+                    have=self.asks.latest_version,
                     told=listing.version,
                 )
         elif listing.how != "changes":
-            self.asks.tick()
-            if self.version and not self.asks.behind:
+            self.asks.keepalive_received()
+            if self.version and not self.asks.service_is_behind:
                 self.heard(0)
                 if time.monotonic() - self.written_at > KEEP_EVERY:
                     self.keep()  # only its stamp is new
-        elif self.asks.follows(listing.life, listing.since, listing.version):
+        elif self.asks.accept_change(listing.life, listing.since, listing.version):
             freed = self.heard(changed(self.rows, listing.rows, whole=False))
             self.take(listing, "changes")
             if freed:
                 self.tell_module([self.rows[name] for name in sorted(freed) if name in self.rows])
-        elif self.asks.missed(listing.life, listing.version):
+        elif self.asks.reveals_newer(listing.life, listing.version):
             # Danger: a change built on one never seen. A gap is closed by the whole list.
             self.driver.log.warning("a gap in the list", have=self.version, since=listing.since)
-            self.asks.gap()
+            self.asks.discard_version()
             self.driver.timers.after(0, self.stream.withdraw)
 
     def heard(self, changes: int) -> set[str]:
@@ -264,9 +272,9 @@
         get plays by that.
         """
         now, spoken, self.spoken, self.outcome = time.monotonic(), self.spoken, True, True
-        self.churn.saw(changes, len(self.rows) * (now - self.stamped) if spoken else 0.0)
+        self.churn.record(changes, len(self.rows) * (now - self.stamped) if spoken else 0.0)
         self.stamped, self.stamp = now, stamp()
-        return self.belief.spoken()
+        return self.belief.list_confirmed()
 
     def take(self, listing: forms.Listing, how: str) -> None:
         rows = self.sound(listing.rows)
@@ -285,7 +293,7 @@
         left = [
             row if row.node not in unsure else forms.msgspec.structs.replace(row, state="gone")
             for row in rows
-            if row.node not in unsure or row.state != "serving" and row.node not in self.belief.unsure
+            if row.node not in unsure or row.state != "serving" and row.node not in self.belief.untrusted
         ]
         now, unix = self.driver.clock.now(), int(time.time() * 1000)
         self.driver.nodes.listed(rows, whole=how != "changes")  # first: the module may allocate at once
@@ -368,11 +376,15 @@
         self.unkept = False
         rows = [row for row in self.rows.values() if row.state != "gone"]
         kept = forms.Kept(
-            self.stamp.unix_ms, self.stamp.boot, self.stamp.steady, self.churn.changes, self.churn.watched
+            self.stamp.unix_ms,
+            self.stamp.boot_id,
+            self.stamp.steady_s,
+            self.churn.changes,
+            self.churn.node_seconds,
         )
         self.written_at = time.monotonic()
         whole = forms.Listing(
-            "whole", self.version, 0, rows, list(self.titles.values()), self.asks.life, kept
+            "whole", self.version, 0, rows, list(self.titles.values()), self.asks.epoch, kept
         )
         self.keeping = asyncio.get_running_loop().run_in_executor(None, put, self.kept, forms.encode(whole))
         self.keeping.add_done_callback(self.written)
@@ -396,20 +408,20 @@
             self.driver.log.warning("the list service is out of reach", how=reply.ending)
         self.outcome = True
         self.look_ready()
-        self.turn = self.driver.timers.after(self.asks.ended(lists.away(reply)), self.subscribe)
+        self.turn = self.driver.timers.after(self.asks.retry_delay(lists.away(reply)), self.subscribe)
         self.borrower.wanted()
 
     def state(self) -> dict:
         """For `/v1/state`: what the front goes by, and whether the service has said so in this process."""
         return {
             "version": self.version,
-            "life": self.asks.life,
+            "life": self.asks.epoch,
             "confirmed": self.spoken,
             "reached": self.spoken and not self.failing,
-            "behind": self.asks.behind,
+            "behind": self.asks.service_is_behind,
             "trust": round(self.belief.trust, 3),
-            "unsure": len(self.belief.unsure),
-            "age_s": age(self.stamp, stamp()),
+            "unsure": len(self.belief.untrusted),
+            "age_s": seconds_between(self.stamp, stamp()),
         }
 
     def close(self) -> None:
--- a/curlewhall/front/nodes.py
+++ b/curlewhall/front/nodes.py
@@ -10,7 +10,7 @@
 
 from curlewhall.errors import describe
 from curlewhall.interface import NodeRow
-from curlewhall.start import Turns
+from curlewhall.start import StreamSchedule
 from curlewhall.wire import forms
 from curlewhall.wire.client import Ask, Pool, Reply
 from curlewhall.wire.http import request_bytes
@@ -40,7 +40,14 @@
     """All listed nodes, by name."""
 
     def __init__(
-        self, driver: Driver, loop, timers, front: str, connect: float, probe_limit: float, turns: Turns
+        self,
+        driver: Driver,
+        loop,
+        timers,
+        front: str,
+        connect: float,
+        probe_limit: float,
+        turns: StreamSchedule,
     ) -> None:
         self.driver, self.loop, self.timers, self.front, self.turns = driver, loop, timers, front, turns
         self.answered: Callable[[str, str], None] = lambda node, named: None  # who answers at its address
@@ -68,7 +75,7 @@
                     continue
                 node = Node(row, Pool(self.loop, self.timers, row.address, row.port, connect=self.connect))
                 self.nodes[row.node] = node
-                node.since, node.waits = self.driver.clock.now(), self.turns.back()
+                node.since, node.waits = self.driver.clock.now(), self.turns.reconnect_backoff()
             anew = row.started_ms > node.row.started_ms
             if anew or row.state == "gone":
                 # Danger: a connection of the process before is dead, or leads to who knows whom.
@@ -77,7 +84,7 @@
             if row.state == "gone":
                 self.follow(node)
             elif node.stream is None and (anew or node.pause is None):
-                self.follow_later(node, self.turns.wait(row.node))
+                self.follow_later(node, self.turns.start_delay(row.node))
         if whole:
             named = {row.node for row in rows}
             for node in [n for n in self.nodes.values() if n.row.node not in named]:
@@ -257,7 +264,7 @@
             # only be cut off from here, its plays go on for their viewers, and it would be told to end them
             # later.
             self.lost(node.row.node)
-        self.follow_later(node, node.waits.next())
+        self.follow_later(node, node.waits.next_delay())
 
     def lost(self, name: str) -> None:
         self.driver.play_store.node_connected(name, ())
@@ -324,7 +331,7 @@
         self.driver.play_store.node_connected(name, there.keys() | elsewhere.keys() | out | later)
         if later:
             self.loop.call_soon(node.stream.withdraw)
-        node.waits.anew()
+        node.waits.reset()
         # what ended between the predecessor's word and this one did not break off
         how, node.handed = "ok" if node.handed else "broken", False
         for play, _ in gone:
--- a/curlewhall/front/serve.py
+++ b/curlewhall/front/serve.py
@@ -27,7 +27,7 @@
 from curlewhall.settings.keys import read_keys
 from curlewhall.sites.decide import SiteDetector
 from curlewhall.sites.run import SiteMonitor
-from curlewhall.start import Turns
+from curlewhall.start import StreamSchedule
 from curlewhall.wire.client import Pool
 from curlewhall.wire.http import Limits
 from curlewhall.wire.server import Server, listen
@@ -123,7 +123,7 @@
             name,
             connect,
             (may.probe_time_limit_ms or 250) / 1000,
-            Turns(seed, file.identity.index, file.identity.fronts),
+            StreamSchedule(seed, file.identity.index, file.identity.fronts),
         )
         self.peers = Peers(self.driver, {p.index: (p.address, p.port) for p in file.peer})
         self.driver.viewers, self.driver.nodes, self.driver.peers = self.viewers, self.nodes, self.peers
--- a/curlewhall/front/viewers.py
+++ b/curlewhall/front/viewers.py
@@ -111,7 +111,7 @@
         if title is None and not self.titles:
             problems.answer(exchange, 503, "This front has just started and has no list yet", away=1000)
             return
-        if title is None and self.follower is not None and self.follower.belief.blind:
+        if title is None and self.follower is not None and self.follower.belief.list_unconfirmed:
             # Danger: a title newer than an old list would be denied for good.
             problems.answer(exchange, 503, "This front goes by an old list, which lacks the title", away=1000)
             return
--- a/curlewhall/relay/decide.py
+++ b/curlewhall/relay/decide.py
@@ -6,7 +6,7 @@
 are seconds. No I/O; no clock is read.
 """
 
-from curlewhall.start.decide import Draw, Waits, span
+from curlewhall.start.decide import Backoff, SeededRandom, fleet_span
 
 MAX_CHANNEL_DELAY_S = 0.4  # changes count as known to a front 2 s after a break: time for five attempts
 STREAM_SILENCE_S = 1.6  # a silent event stream is taken for dead; the channel sends a comment each second
@@ -36,11 +36,11 @@
 
     def __init__(self, seed: int, grace: float, fronts: int) -> None:
         """`grace`: the drain grace in seconds; `fronts`: the size of the fleet."""
-        self.draw = Draw(seed, "channel")
-        self.span = span(SWITCH_S_PER_FRONT, fronts, MAX_SWITCH_S)
+        self.draw = SeededRandom(seed, "channel")
+        self.span = fleet_span(SWITCH_S_PER_FRONT, fronts, MAX_SWITCH_S)
         least = max(0.001, min(MAX_CHANNEL_DELAY_S, 0.1 * grace))
         self.silent_attempts = 0  # attempts in a row in which the channel sent nothing
-        self.waits = Waits(
+        self.waits = Backoff(
             self.draw, least, max(least, min(MAX_CHANNEL_DELAY_S, 0.5 * grace)), MAX_CHANNEL_DELAY_S
         )
 
@@ -48,12 +48,12 @@
         """The delay after a stream that carried data for `streamed_s` seconds, 0 for a failed attempt."""
         self.silent_attempts = 0 if streamed_s else self.silent_attempts + 1
         if streamed_s >= STABLE_STREAM_S:
-            self.waits.anew()
-        return self.waits.next()
+            self.waits.reset()
+        return self.waits.next_delay()
 
     def event_received(self) -> None:
         """Start the backoff anew: the next break is a new one."""
-        self.waits.anew()
+        self.waits.reset()
 
     def silence_timeout(self, receiving: bool) -> float:
         """Seconds of silence after which the stream is dropped; `receiving`: it has carried data already.
@@ -66,7 +66,7 @@
 
     def switch_delay(self) -> float:
         """The delay after a new configuration, which all fronts get at once: 4 s are allowed."""
-        return self.draw.between(0.0, self.span)
+        return self.draw.uniform(0.0, self.span)
 
 
 class SilenceTimeouts:
@@ -103,15 +103,15 @@
     """Delays of a front that has just started before it connects to each node with sessions of before."""
 
     def __init__(self, seed: int, fronts: int) -> None:
-        self.draw = Draw(seed, "way in")
-        self.span = span(NODE_CONNECT_S_PER_FRONT, fronts, MAX_NODE_CONNECT_S)
+        self.draw = SeededRandom(seed, "way in")
+        self.span = fleet_span(NODE_CONNECT_S_PER_FRONT, fronts, MAX_NODE_CONNECT_S)
 
     def next(self) -> float:
         """A delay in seconds. Without it all fronts of a fleet that starts at once would connect to a node in
         one moment. Nodes report sessions that end meanwhile on the new connection, well within
         `SESSION_END_DEADLINE_S`.
         """
-        return self.draw.between(0.0, self.span)
+        return self.draw.uniform(0.0, self.span)
 
 
 class ShutdownSchedule:
--- a/curlewhall/start/__init__.py
+++ b/curlewhall/start/__init__.py
@@ -1,24 +1,39 @@
-"""The start of a fleet: when hundreds of fronts that begin, or lose their list service or a node, at one
-moment ask it, and what they go by until it answers.
+"""How fronts behave when many of them start, or lose the list service or a node, at the same moment.
 
-`decide.py` holds what is decided, without I/O; the front's follower of the list asks it. The relay, whose
-platform has a channel in place of the service, shares the draws and the waits.
+Covers when a front requests the node list and opens streams to nodes, and which nodes it uses until the list
+service has answered. `decide` holds the decisions, without I/O; the front's list follower and node
+connections use them. The relay, which has a platform channel in place of the list service, uses the random
+numbers and the backoff.
 """
 
-from .decide import Asks, Belief, Borrows, Churn, Draw, Had, Lends, Stamp, Turns, Waits, age, better, ready
+from .decide import (
+    Backoff,
+    ListChangeRate,
+    ListSubscription,
+    ListVersion,
+    NodeTrust,
+    PeerListLimiter,
+    PeerListRequests,
+    SeededRandom,
+    StreamSchedule,
+    Timestamp,
+    is_ready,
+    peer_list_is_better,
+    seconds_between,
+)
 
 __all__ = [
-    "Asks",
-    "Belief",
-    "Borrows",
-    "Churn",
-    "Draw",
-    "Had",
-    "Lends",
-    "Stamp",
-    "Turns",
-    "Waits",
-    "age",
-    "better",
-    "ready",
+    "Backoff",
+    "ListChangeRate",
+    "ListSubscription",
+    "ListVersion",
+    "NodeTrust",
+    "PeerListLimiter",
+    "PeerListRequests",
+    "SeededRandom",
+    "StreamSchedule",
+    "Timestamp",
+    "is_ready",
+    "peer_list_is_better",
+    "seconds_between",
 ]
--- a/curlewhall/start/decide.py
+++ b/curlewhall/start/decide.py
@@ -1,9 +1,9 @@
-"""When a front asks the list service and its nodes, and what it believes until they have answered. No I/O and
-no clock: calls in, seconds and words out.
+"""When a front asks the list service, peers and nodes, and which nodes it trusts before they answer.
 
-Each front is harmless; hundreds that ask in one moment, fail, and come back in step are the worst client
-that a service has. So every wait is drawn from the front's own seed, over spans that grow with the number of
-fronts.
+No I/O and no clock: the caller passes times and waits for the returned delays, all in seconds.
+
+Each front alone is harmless; hundreds that ask at one moment, fail and return in step overload a service. So
+every delay is drawn from the front's own seed, over a span that grows with the number of fronts.
 """
 
 from math import exp
@@ -11,341 +11,410 @@
 from typing import NamedTuple
 from zlib import crc32
 
-BARE, BARE_IN_ALL = 0.005, 1.0  # a front's part of the span in which a fleet without lists asks; at most
-KEPT, KEPT_IN_ALL = 0.02, 4.0  # the same with kept lists: they go by those, and only have them confirmed
-HELPED_IN_ALL = 20.0  # the same, without lists but with peers to ask: the first that has one hands it on
-LEAST, FIRST = 0.1, 0.5  # the first wait after a stream that ended
-PART, MOST, LONGEST = 0.02, 2.0, 10.0  # the longest wait: a front's part; at least; at most
-NODE_RATE = 50.0  # streams a second that a whole fleet asks of a node, see `Turns`
-STREAMS_IN_ALL = 8.0  # beyond 400 fronts the rate grows instead: nodes drop plays of a front away for 12 s
-AWAY = 10.0  # the longest wait before a stream that broke is asked for again, for the same reason
-DAY = 86_400.0
-WATCHED = 90 * DAY  # node-seconds after which what was seen counts half: fleets change their ways
-BELIEVED = 0.8  # the trust from which on a kept list's nodes get plays before they have answered
-FORGOTTEN = 0.05  # below, a kept list names hardly a node that is still there
-UNREADY = 5.0  # seconds after which a front that has heard nothing at all serves as it is
-FRESH = 5.0  # seconds about which a front that the service is out of reach for asks a peer again
-LENT, LENT_LATER = 2, 1.0  # whole lists that a front hands out in a second; after which others come back
-ASKED = 30.0  # a Retry-After beyond it is taken for this: the front would be blind for longer than lists hold
-
-
-def span(part: float, fronts: int, most: float) -> float:
-    """Over how long a fleet does something: a part for each front, `most` for any number of them."""
-    return min(most, part * max(1, fronts))
-
-
-class Draw:
-    """Numbers from a front's seed, for one use.
-
-    Danger: a checksum over seed and counter, as the module has it, is linear. From one draw to the next all
-    fronts step by one of a few differences, so a fleet drawn apart once would meet again at its second wait.
+# The span over which a starting fleet first asks the list service: seconds per front, and the maximum.
+NO_LIST_SPAN_PER_FRONT_S = 0.005
+MAX_NO_LIST_SPAN_S = 1.0
+# The same for fronts with a kept list: they use it meanwhile and only need a confirmation.
+KEPT_LIST_SPAN_PER_FRONT_S = 0.02
+MAX_KEPT_LIST_SPAN_S = 4.0
+# The same for fronts without a list but with peers: the first front that gets the list hands it on.
+MAX_PEER_ASSISTED_SPAN_S = 20.0
+# The first delay after a stream that ended: its minimum and maximum.
+MIN_RETRY_DELAY_S = 0.1
+MAX_FIRST_RETRY_DELAY_S = 0.5
+# The longest retry delay: seconds per front, the least and the most that this comes to.
+RETRY_SPAN_PER_FRONT_S = 0.02
+MIN_RETRY_SPAN_S = 2.0
+MAX_RETRY_SPAN_S = 10.0
+NODE_STREAM_RATE = 50.0  # streams a second that a whole fleet opens to one node, see `StreamSchedule`
+# Beyond 400 fronts the rate grows instead of the span: nodes drop the plays of a front that is away for 12 s.
+MAX_STREAM_SPAN_S = 8.0
+MAX_RECONNECT_DELAY_S = 10.0  # for the same reason
+DAY_S = 86_400.0
+OBSERVATION_LIMIT_S = 90 * DAY_S  # node-seconds after which observations are halved: change rates drift
+MIN_TRUST = 0.8  # the trust from which on nodes of a kept list get plays before they have answered
+MIN_USEFUL_TRUST = 0.05  # below, a kept list names hardly any node that still exists
+READY_TIMEOUT_S = 5.0  # after which a front that has heard nothing at all serves as it is
+PEER_LIST_INTERVAL_S = 5.0  # mean time between requests to peers while the list service is unreachable
+PEER_LISTS_PER_SECOND = 2  # full lists that a front hands out
+PEER_LIST_RETRY_AFTER_S = 1.0  # told to further fronts that ask in the same second
+MAX_RETRY_AFTER_S = 30.0  # longer Retry-After values are cut: kept lists are useful for less than that
+
+
+def fleet_span(per_front: float, fronts: int, maximum: float) -> float:
+    """Over how many seconds a fleet spreads something: `per_front` for each front, `maximum` in all."""
+    return min(maximum, per_front * max(1, fronts))
+
+
+class SeededRandom:
+    """Random numbers from a front's seed, for one purpose.
+
+    A checksum of seed and counter, as the module uses, is linear: from one draw to the next all fronts
+    advance by one of a few differences, so that fronts spread out by the first draw would meet again at the
+    second.
     """
 
-    def __init__(self, seed: int, what: str) -> None:
-        self.random = Random(f"{seed} {what}")
+    def __init__(self, seed: int, purpose: str) -> None:
+        self.random = Random(f"{seed} {purpose}")
 
-    def between(self, low: float, high: float) -> float:
+    def uniform(self, low: float, high: float) -> float:
+        """A number between `low` and `high`."""
         return self.random.uniform(low, high)
 
 
-class Waits:
-    """Waits that grow while nothing comes of it (decorrelated jitter).
+class Backoff:
+    """Retry delays that grow while attempts fail (decorrelated jitter).
 
-    The first is drawn between `least` and `first`, each further one up to three times the one before, and
-    `most`. Drawn below the bound, not cut at it: what is cut would fall into step there.
+    The first delay is drawn between `minimum` and `max_first`, each further one between `minimum` and three
+    times the one before, `maximum` at most. The bound limits the interval drawn from, not the drawn delay:
+    delays cut off at the bound would be equal, and the fronts in step.
     """
 
-    def __init__(self, draw: Draw, least: float, first: float, most: float) -> None:
-        self.draw, self.least, self.first, self.most, self.last = draw, least, first, most, 0.0
-
-    def next(self) -> float:
-        if self.last:
-            self.last = self.draw.between(self.least, min(self.most, 3 * self.last))
+    def __init__(self, random: SeededRandom, minimum: float, max_first: float, maximum: float) -> None:
+        self.random = random
+        self.minimum = minimum
+        self.max_first = max_first
+        self.maximum = maximum
+        self.last_delay = 0.0
+
+    def next_delay(self) -> float:
+        """Seconds to wait before the next attempt."""
+        if self.last_delay:
+            self.last_delay = self.random.uniform(self.minimum, min(self.maximum, 3 * self.last_delay))
         else:
-            self.last = self.draw.between(self.least, self.first)
-        return self.last
+            self.last_delay = self.random.uniform(self.minimum, self.max_first)
+        return self.last_delay
 
-    def anew(self) -> None:
-        """Something came of it: the next wait is a first one."""
-        self.last = 0.0
+    def reset(self) -> None:
+        """An attempt succeeded: the next delay is a first one."""
+        self.last_delay = 0.0
 
 
-class Asks:
-    """One front towards the list service.
+class ListSubscription:
+    """One front's subscription to the list service: the version it has, and when it asks again.
 
-    A version counts within one life of the service, which the service names; what was kept of another life,
-    or of a service that names none, is worth no confirmation, and the whole list is asked for.
+    Versions are comparable within one epoch of the service, which the service names (`life` on the wire). A
+    list of another epoch, or of a service that names none, can't be confirmed, so the full list is requested.
     """
 
-    def __init__(self, seed: int, fronts: int, helped: bool = False) -> None:
-        """`helped`: there are peers that may have the list."""
-        self.draw, self.kept = Draw(seed, "list"), span(KEPT, fronts, KEPT_IN_ALL)
-        self.bare = span(KEPT, fronts, HELPED_IN_ALL) if helped else span(BARE, fronts, BARE_IN_ALL)
-        self.waits = Waits(self.draw, LEAST, FIRST, max(MOST, span(PART, fronts, LONGEST)))
-        self.life, self.version = "", 0
-        self.latest, self.behind = 0, False  # latest of this life; whether the service is before it
-
-    def begin(self, life: str, version: int) -> float:
-        """The wait before the first ask, with what a kept list says of itself ("" and 0: there is none).
-
-        Danger: a front that waits goes by an old list, and may be a drain behind. So this has a bound for any
-        fleet, and a front without any list, which can place nothing, waits far less.
+    def __init__(self, seed: int, fronts: int, has_peers: bool = False) -> None:
+        """`has_peers`: there are peers that may have the list."""
+        self.random = SeededRandom(seed, "list")
+        self.kept_list_span = fleet_span(KEPT_LIST_SPAN_PER_FRONT_S, fronts, MAX_KEPT_LIST_SPAN_S)
+        self.no_list_span = (
+            fleet_span(KEPT_LIST_SPAN_PER_FRONT_S, fronts, MAX_PEER_ASSISTED_SPAN_S)
+            if has_peers
+            else fleet_span(NO_LIST_SPAN_PER_FRONT_S, fronts, MAX_NO_LIST_SPAN_S)
+        )
+        self.backoff = Backoff(
+            self.random,
+            MIN_RETRY_DELAY_S,
+            MAX_FIRST_RETRY_DELAY_S,
+            max(MIN_RETRY_SPAN_S, fleet_span(RETRY_SPAN_PER_FRONT_S, fronts, MAX_RETRY_SPAN_S)),
+        )
+        self.epoch = ""
+        self.version = 0  # the version that this front has; 0: the full list is needed
+        self.latest_version = 0  # the highest one known of this epoch
+        self.service_is_behind = False  # the service's list is older than `latest_version`
+
+    def first_delay(self, epoch: str, version: int) -> float:
+        """The delay before the first request, given the kept list's epoch and version ("" and 0: no list).
+
+        A waiting front uses an old list and may miss a drain, so the delay is bounded for any fleet. A front
+        without a list can place nothing and waits far less.
         """
-        self.life, self.version = (life, version) if life else ("", 0)
-        self.latest = self.version
-        return self.draw.between(0.0, self.kept if self.version else self.bare)
+        self.epoch, self.version = (epoch, version) if epoch else ("", 0)
+        self.latest_version = self.version
+        return self.random.uniform(0.0, self.kept_list_span if self.version else self.no_list_span)
 
-    def whole(self, life: str, version: int) -> bool:
-        """A whole list came, of this life of the service; whether it is to be taken.
+    def accept_full_list(self, epoch: str, version: int) -> bool:
+        """Whether a full list that the service sent is to be used.
 
-        Danger: a service that comes back from an older copy would call drained nodes back. In one life
-        versions only grow, so an older one is not taken, nor what builds on it, until it has caught up.
+        Versions only grow within an epoch. A service restored from an older copy would put drained nodes back
+        into service, so neither its list nor changes to it are accepted until it has caught up.
         """
-        self.waits.anew()
-        self.behind = bool(life) and life == self.life and version < self.latest
-        if not self.behind:
-            self.life, self.version, self.latest = life, version, version
-        return not self.behind
-
-    def lent(self, life: str, version: int) -> None:
-        """A peer's list is gone by; the service is asked whether it stands."""
-        self.life, self.version, self.latest, self.behind = life, version if life else 0, version, False
-
-    def follows(self, life: str, since: int, version: int) -> bool:
-        """Whether a change follows on what is had; if so, it is had from now on. `gap` is yours to say."""
-        self.waits.anew()
-        if self.behind or life not in ("", self.life) or not 0 < since == self.version:
+        self.backoff.reset()
+        self.service_is_behind = bool(epoch) and epoch == self.epoch and version < self.latest_version
+        if not self.service_is_behind:
+            self.epoch = epoch
+            self.version = version
+            self.latest_version = version
+        return not self.service_is_behind
+
+    def adopt_peer_list(self, epoch: str, version: int) -> None:
+        """A peer's list is used now; the next request asks the service to confirm it."""
+        self.epoch = epoch
+        self.version = version if epoch else 0
+        self.latest_version = version
+        self.service_is_behind = False
+
+    def accept_change(self, epoch: str, base_version: int, version: int) -> bool:
+        """Whether a change applies to the list that this front has; if so, its version is stored.
+
+        On a gap the caller uses `reveals_newer` and `discard_version`.
+        """
+        self.backoff.reset()
+        if self.service_is_behind or epoch not in ("", self.epoch) or not 0 < base_version == self.version:
             return False
-        self.version = self.latest = version
+        self.version = self.latest_version = version
         return True
 
-    def missed(self, life: str, version: int) -> bool:
-        """Whether a change that does not follow tells of something that is not had."""
-        return life not in ("", self.life) or version > self.latest
+    def reveals_newer(self, epoch: str, version: int) -> bool:
+        """Whether a change that was not accepted shows that the service has something newer."""
+        return epoch not in ("", self.epoch) or version > self.latest_version
 
-    def tick(self) -> None:
-        """The service lives, and has nothing new."""
-        self.waits.anew()
+    def keepalive_received(self) -> None:
+        """The service is alive and has nothing new."""
+        self.backoff.reset()
 
-    def gap(self) -> None:
-        """A change built on one never seen: the whole list is asked for."""
+    def discard_version(self) -> None:
+        """A change was missed: request the full list next."""
         self.version = 0
 
-    def ended(self, retry_after: float | None = None) -> float:
-        """The wait before the next ask. `retry_after`: what the service asked for, if it turned this away.
+    def retry_delay(self, retry_after: float | None = None) -> float:
+        """The delay before the next request; `retry_after`: what the service asked for with a 503.
 
-        Danger: all that were turned away in one moment would come back in one, so up to as much again is
-        drawn on top, and `FIRST` at least.
+        All fronts that were rejected at one moment would return at one moment, so up to the same time again
+        is added at random, `MAX_FIRST_RETRY_DELAY_S` at least.
         """
         if retry_after is None or not retry_after >= 0:
-            return self.waits.next()
-        asked = min(ASKED, retry_after)
-        return asked + self.draw.between(0.0, max(FIRST, asked))
+            return self.backoff.next_delay()
+        requested = min(MAX_RETRY_AFTER_S, retry_after)
+        return requested + self.random.uniform(0.0, max(MAX_FIRST_RETRY_DELAY_S, requested))
 
 
-class Turns:
+class StreamSchedule:
     """When one front opens its streams to nodes, each of which meets all fronts that start at one moment.
 
-    Not drawn: each node has an order of its own in which the fleet's fronts have their turns, one every
-    1 / `NODE_RATE` s, so that no second of any node sees more, and a front's own turns lie all over its span.
+    The times are not random: each node has its own cyclic order of the fronts, one every 1 /
+    `NODE_STREAM_RATE` seconds, so that no second of any node sees more, and a front's own times are spread
+    over the whole span.
     """
 
     def __init__(self, seed: int, index: int, fronts: int) -> None:
-        self.place = index % max(1, fronts) / max(1, fronts)
-        self.span, self.draw = span(1 / NODE_RATE, fronts, STREAMS_IN_ALL), Draw(seed, "streams")
+        self.position = index % max(1, fronts) / max(1, fronts)
+        self.span = fleet_span(1 / NODE_STREAM_RATE, fronts, MAX_STREAM_SPAN_S)
+        self.random = SeededRandom(seed, "streams")
 
-    def wait(self, node: str) -> float:
-        """The wait after a moment that all fronts see alike: their own start, or a node's that is told."""
-        return self.span * ((self.place + crc32(node.encode()) / 2**32) % 1.0)
+    def start_delay(self, node: str) -> float:
+        """The delay after a moment that all fronts share: their own start, or the listed start of a node."""
+        return self.span * ((self.position + crc32(node.encode()) / 2**32) % 1.0)
 
-    def back(self) -> Waits:
-        """The waits after a stream that ended: all fronts lose a node that dies in one moment."""
-        least, most = max(LEAST, self.span / 4), min(AWAY, 1.25 * self.span)
-        return Waits(self.draw, least, max(FIRST, most), max(MOST, min(AWAY, 2 * self.span)))
+    def reconnect_backoff(self) -> Backoff:
+        """The delays after a stream ended; all fronts lose the streams of a dead node at one moment."""
+        minimum = max(MIN_RETRY_DELAY_S, self.span / 4)
+        max_first = min(MAX_RECONNECT_DELAY_S, 1.25 * self.span)
+        return Backoff(
+            self.random,
+            minimum,
+            max(MAX_FIRST_RETRY_DELAY_S, max_first),
+            max(MIN_RETRY_SPAN_S, min(MAX_RECONNECT_DELAY_S, 2 * self.span)),
+        )
 
 
-class Stamp(NamedTuple):
-    """When a list was last confirmed: milliseconds since 1970, the machine's boot, and seconds since that."""
+class Timestamp(NamedTuple):
+    """When a list was last confirmed."""
 
-    unix_ms: int
-    boot: str
-    steady: float
+    unix_ms: int  # 0: unknown
+    boot_id: str  # of the machine; "" where it has none
+    steady_s: float  # since the boot
 
 
-def age(then: Stamp, now: Stamp) -> float | None:
-    """Seconds between two stamps; None where it can't be told.
+def seconds_between(then: Timestamp, now: Timestamp) -> float | None:
+    """Seconds between two timestamps; None if they can't be compared.
 
-    Danger: wall clocks are minutes apart, and are set back. Within one boot the machine's own count goes;
-    across boots a time that lies ahead tells nothing, and is not taken for "just now".
+    Wall clocks differ by minutes and may be set back. Within one boot the machine's own count is used; across
+    boots a time in the future is unusable, and must not pass for "just now".
     """
-    if then.boot and then.boot == now.boot:
-        span = now.steady - then.steady
+    if then.boot_id and then.boot_id == now.boot_id:
+        seconds = now.steady_s - then.steady_s
     else:
-        span = (now.unix_ms - then.unix_ms) / 1000 if then.unix_ms else -1.0
-    return span if span >= 0 else None
+        seconds = (now.unix_ms - then.unix_ms) / 1000 if then.unix_ms else -1.0
+    return seconds if seconds >= 0 else None
 
 
-class Churn:
-    """How often a line of the list stops being true: changes seen in the node-seconds that were watched.
+class ListChangeRate:
+    """How often a line of the list becomes wrong, from the changes seen and the node-seconds observed.
 
-    Until more is known, one change a node and day: fleets replace machines daily, not hourly.
+    It starts from one change per node and day, since fleets replace machines daily, not hourly.
     """
 
-    def __init__(self, changes: float = 0.0, watched: float = 0.0) -> None:
-        sound = 0 <= changes < 1e9 and 0 <= watched < 1e12
-        self.changes, self.watched = (changes, watched) if sound else (0.0, 0.0)
+    def __init__(self, changes: float = 0.0, node_seconds: float = 0.0) -> None:
+        valid = 0 <= changes < 1e9 and 0 <= node_seconds < 1e12
+        self.changes, self.node_seconds = (changes, node_seconds) if valid else (0.0, 0.0)
 
-    def saw(self, changes: int, node_seconds: float) -> None:
-        self.changes, self.watched = self.changes + changes, self.watched + max(0.0, node_seconds)
-        if self.watched > WATCHED:
-            self.changes, self.watched = self.changes / 2, self.watched / 2
+    def record(self, changes: int, node_seconds: float) -> None:
+        """Add an observation."""
+        self.changes = self.changes + changes
+        self.node_seconds = self.node_seconds + max(0.0, node_seconds)
+        if self.node_seconds > OBSERVATION_LIMIT_S:
+            self.changes = self.changes / 2
+            self.node_seconds = self.node_seconds / 2
 
-    def rate(self) -> float:
-        """Changes a node and second."""
-        return (self.changes + 1) / (self.watched + DAY)
+    def per_node_second(self) -> float:
+        """Changes per node and second."""
+        return (self.changes + 1) / (self.node_seconds + DAY_S)
 
-    def trust(self, seconds: float | None) -> float:
-        """The chance that a line confirmed so long ago is still true; 0 where nobody knows how long ago."""
-        return 0.0 if seconds is None else exp(-self.rate() * seconds)
+    def trust(self, age_s: float | None) -> float:
+        """The probability that a line confirmed so long ago is still right; 0 for an unknown age."""
+        return 0.0 if age_s is None else exp(-self.per_node_second() * age_s)
 
 
-class Belief:
-    """Which nodes of a kept list may get plays before the list service has spoken.
+class NodeTrust:
+    """Which nodes of an unconfirmed list may get plays before the list service has answered.
 
-    All of them while the list is trusted, and each that has answered under its own name; never one at whose
-    address another answers. Danger: of a fleet that starts on an old list each front would find each dead
-    machine for itself, at the price of a failed allocation.
+    All of them while the list is trusted, otherwise each that has answered under its own name; never one at
+    whose address another node answers. Without this, each front of a fleet that starts with an old list would
+    find every dead machine by a failed allocation.
     """
 
     def __init__(self) -> None:
-        self.unseen: set[str] = set()  # not believed until they answer
-        self.strangers: set[str] = set()  # another answered at their address
-        self.trust, self.blind = 1.0, False  # blind: the service has not spoken since this list was had
+        self.unanswered: set[str] = set()  # not trusted until they answer
+        self.misaddressed: set[str] = set()  # another node answered at their address
+        self.trust = 1.0
+        self.list_unconfirmed = False  # the service has not answered since this list is used
 
     @property
-    def unsure(self) -> set[str]:
+    def untrusted(self) -> set[str]:
         """The nodes that get no plays."""
-        return self.unseen | self.strangers
+        return self.unanswered | self.misaddressed
 
     @property
-    def forgotten(self) -> bool:
-        """Whether hardly a line of the kept list can still be true."""
-        return self.trust < FORGOTTEN
-
-    def kept(self, nodes: set[str], trust: float) -> None:
-        """A list that nobody has confirmed since is all there is: this front's own, or a peer's."""
-        self.trust, self.blind = trust, True
-        self.unseen = set() if trust >= BELIEVED else set(nodes)
-        self.strangers &= nodes
-
-    def answered(self, node: str, named: str) -> bool | None:
-        """A node's stream began, and whoever answers calls itself `named`. True: from now on it may get
-        plays; False: not any more; None: nothing changes.
+    def list_outdated(self) -> bool:
+        """Whether hardly a line of the kept list can still be right."""
+        return self.trust < MIN_USEFUL_TRUST
+
+    def use_unconfirmed_list(self, nodes: set[str], trust: float) -> None:
+        """Start from a list that the service has not confirmed since: this front's own, or a peer's."""
+        self.trust = trust
+        self.list_unconfirmed = True
+        self.unanswered = set() if trust >= MIN_TRUST else set(nodes)
+        self.misaddressed &= nodes
+
+    def node_answered(self, node: str, reported_name: str) -> bool | None:
+        """A node's stream began, and the process there reports its name.
+
+        True: the node may get plays from now on; False: it may no longer; None: nothing changes.
         """
-        was = node in self.unsure
-        if not self.blind:
+        was_untrusted = node in self.untrusted
+        if not self.list_unconfirmed:
             return None
-        self.unseen.discard(node)
-        (self.strangers.discard if node == named else self.strangers.add)(node)
-        now = node != named
-        return None if was == now else not now
-
-    def spoken(self) -> set[str]:
-        """The service has confirmed what was had: the nodes that may get plays now and could not before."""
-        freed, self.unseen, self.strangers = self.unsure, set(), set()
-        self.trust, self.blind = 1.0, False
+        self.unanswered.discard(node)
+        (self.misaddressed.discard if node == reported_name else self.misaddressed.add)(node)
+        is_untrusted = node != reported_name
+        return None if was_untrusted == is_untrusted else not is_untrusted
+
+    def list_confirmed(self) -> set[str]:
+        """The service has confirmed the list; returns the nodes that may get plays from now on."""
+        freed, self.unanswered, self.misaddressed = self.untrusted, set(), set()
+        self.trust = 1.0
+        self.list_unconfirmed = False
         return freed
 
 
-class Had(NamedTuple):
-    """What a front says of its list; `seconds`: since the service confirmed it, None: unknown."""
+class ListVersion(NamedTuple):
+    """Which list a front has, and how long ago the service confirmed it."""
 
-    life: str
+    epoch: str
     version: int
-    seconds: float | None
+    age_s: float | None  # None: unknown
 
 
-def better(mine: Had, theirs: Had) -> bool:
-    """Whether a peer's list is to be taken in place of one's own.
+def peer_list_is_better(own: ListVersion, peer: ListVersion) -> bool:
+    """Whether to use a peer's list in place of this front's own.
 
-    In one life the later version, and of equal ones that confirmed later, by a second at least: what passes
-    from front to front must not go round for nothing. Of two lives the one that was confirmed later. Danger:
-    in one life an older list, however lately somebody had it confirmed, would call drained nodes back.
+    In one epoch the higher version wins, and of equal versions the one confirmed later by at least a second:
+    a list passed among fronts must not circulate for nothing. Of two epochs the one confirmed later wins. In
+    one epoch an older version would put drained nodes back into service, however lately it was confirmed to
+    somebody.
     """
-    if theirs.seconds is None or not theirs.version:
+    if peer.age_s is None or not peer.version:
         return False
-    younger = mine.seconds is None or theirs.seconds < mine.seconds - 1
-    if not mine.version:
+    confirmed_later = own.age_s is None or peer.age_s < own.age_s - 1
+    if not own.version:
         return True
-    if mine.life and mine.life == theirs.life:
-        return theirs.version > mine.version or theirs.version == mine.version and younger
-    return younger
+    if own.epoch and own.epoch == peer.epoch:
+        return peer.version > own.version or peer.version == own.version and confirmed_later
+    return confirmed_later
 
 
-class Borrows:
-    """When a front asks a peer for the list, and which.
+class PeerListRequests:
+    """When a front asks a peer for the list, and which peer.
 
-    Only while the service has not spoken, or is out of reach. Peers come in an order that is drawn, each once
-    before any comes again; one that asked for time gets it. All may be as young as the asker: nobody asks on
-    another's behalf, so a circle of such fronts costs each an ask now and then and ends with the first list.
+    Only until the list service has answered, or while it is unreachable. Peers are asked in a random order,
+    each once before any is repeated; a peer's Retry-After is respected. Peers may have no list either: no
+    front asks on behalf of another, so a circle of such fronts only costs each a request now and then, and
+    ends with the first list.
     """
 
     def __init__(self, seed: int, peers: list[int], fronts: int) -> None:
-        self.draw, self.peers, self.order = Draw(seed, "peers"), sorted(peers), []
-        self.first = span(BARE, fronts, BARE_IN_ALL)
-        self.waits, self.not_before = Waits(self.draw, LEAST, FIRST, MOST), dict.fromkeys(peers, 0.0)
-
-    def begin(self, bare: bool) -> float | None:
-        """The wait before the first ask; None: not before the service has failed."""
-        return self.draw.between(0.0, self.first) if bare and self.peers else None
-
-    def next(self, now: float) -> int | None:
-        """The peer to ask now; None: all have asked for time."""
+        self.random = SeededRandom(seed, "peers")
+        self.peers = sorted(peers)
+        self.order = []
+        self.first_span = fleet_span(NO_LIST_SPAN_PER_FRONT_S, fronts, MAX_NO_LIST_SPAN_S)
+        self.backoff = Backoff(self.random, MIN_RETRY_DELAY_S, MAX_FIRST_RETRY_DELAY_S, MIN_RETRY_SPAN_S)
+        self.not_before = dict.fromkeys(peers, 0.0)  # peer -> when it may be asked again
+
+    def first_delay(self, without_list: bool) -> float | None:
+        """The delay before the first request; None: ask only after the list service has failed."""
+        return self.random.uniform(0.0, self.first_span) if without_list and self.peers else None
+
+    def next_peer(self, now: float) -> int | None:
+        """The peer to ask now; None: all have asked to wait."""
         for _ in range(2):
             for i, peer in enumerate(self.order):
                 if self.not_before[peer] <= now:
                     return self.order.pop(i)
             if len(self.order) == len(self.peers):
                 break
-            self.order = self.draw.random.sample(self.peers, len(self.peers))
+            self.order = self.random.random.sample(self.peers, len(self.peers))
         return None
 
-    def ended(self, now: float, peer: int | None, took: bool, retry_after: float | None = None) -> float:
-        """The wait before the next ask. `took`: the peer's word was had, new or not."""
+    def next_delay(
+        self, now: float, peer: int | None, answered: bool, retry_after: float | None = None
+    ) -> float:
+        """The delay before the next request. `answered`: the peer sent its list, newer or not."""
         if peer is not None and retry_after is not None and retry_after >= 0:
-            self.not_before[peer] = now + min(ASKED, retry_after)
-        if not took:
-            return self.waits.next()
-        self.waits.anew()
-        return self.draw.between(0.5 * FRESH, 1.5 * FRESH)
+            self.not_before[peer] = now + min(MAX_RETRY_AFTER_S, retry_after)
+        if not answered:
+            return self.backoff.next_delay()
+        self.backoff.reset()
+        return self.random.uniform(0.5 * PEER_LIST_INTERVAL_S, 1.5 * PEER_LIST_INTERVAL_S)
 
 
-class Lends:
-    """To how many peers a front hands its list, and whether it has one to hand out."""
+class PeerListLimiter:
+    """Whether a front hands its list to a peer that asks for it."""
 
     def __init__(self) -> None:
-        self.second, self.count = 0, 0
+        self.second = 0
+        self.count = 0  # of requests in that second
 
-    def may(self, now: float) -> bool:
-        """Danger: a fleet without lists would turn to the few that have one, and they serve viewers too."""
+    def allow(self, now: float) -> bool:
+        """Whether another full list may be handed out in this second.
+
+        A fleet without lists asks the few fronts that have one, and those serve viewers too.
+        """
         if int(now) != self.second:
             self.second, self.count = int(now), 0
         self.count += 1
-        return self.count <= LENT
+        return self.count <= PEER_LISTS_PER_SECOND
 
     @staticmethod
-    def sound(had: Had, trust: float) -> bool:
-        """Danger: a list that goes from front to front grows old on the way; its age adds up, and what is not
-        believed any more is not handed on.
+    def is_trusted(listed: ListVersion, trust: float) -> bool:
+        """Whether a list may be passed between fronts.
+
+        A list ages on its way from front to front, and the ages add up; one that is not trusted any more is
+        not handed on.
         """
-        return had.version > 0 and had.seconds is not None and trust >= BELIEVED
+        return listed.version > 0 and listed.age_s is not None and trust >= MIN_TRUST
 
 
-def ready(sure: int, outcome: bool, waited: float) -> bool:
-    """Whether a front can place plays, or decline them with reason: it has nodes that may get them, or the
-    list service (where there is one) has spoken or failed it, or it has waited long enough for that.
+def is_ready(trusted_nodes: int, outcome_known: bool, waited_s: float) -> bool:
+    """Whether a front can place plays, or decline them for a good reason.
 
-    Danger: who is told of a front too early sends viewers there who are turned away for nothing; who is never
-    told of one whose service is away misses a front that declines with a time to come back.
+    It has nodes that may get plays, or the list service (where there is one) has answered or failed, or the
+    front has waited long enough for that. If a front reports ready too early, viewers are sent to it and
+    declined for nothing; if it never did while its list service is away, viewers would miss its declines with
+    a Retry-After.
     """
-    return sure > 0 or outcome or waited >= UNREADY
+    return trusted_nodes > 0 or outcome_known or waited_s >= READY_TIMEOUT_S
--- a/tests/sites/test_sites_fleet.py
+++ b/tests/sites/test_sites_fleet.py
@@ -155,7 +155,7 @@
         place.fleet.fault("link:*>site:north", "reset", 0)  # open connections break, new ones fail
         await until(lambda: place.state() == LOST)
         nodes = [n for n in place.fronts[0].nodes.nodes.values() if n.row.node in north]
-        await until(lambda: all(n.waits.last > 0.5 for n in nodes))  # each reconnection has failed
+        await until(lambda: all(n.waits.last_delay > 0.5 for n in nodes))  # each reconnection has failed
         assert held <= driver.plays.keys()
         for link in ("link:*>site:north", "link:site:north>*"):
             place.fleet.fault(link, "cut", 0)
--- a/tests/start/test_start_faults.py
+++ b/tests/start/test_start_faults.py
@@ -1,4 +1,4 @@
-"""Several fronts as processes, started at one moment, with faults between them and the list service."""
+"""Front processes started at one moment, with faults between them and the list service."""
 
 import json
 import urllib.error
@@ -6,7 +6,7 @@
 
 import pytest
 from loopback import poll
-from test_start_fleet import kept, listed
+from test_start_fleet import kept_lists, list_states
 
 from curlewhall import records
 from curlewhall.drills.demo import state
@@ -17,35 +17,33 @@
 FRONTS, NODES = 4, 4
 
 
-def begun(tmp_path, seed=12):
+def make_faulty_plan(tmp_path, seed=12):
     plan = make_plan(seed, NODES, FRONTS, 5.0, tmp_path)
     add_links(plan)
     return plan, [front["name"] for front in plan["fronts"]]
 
 
-def again(fleet, names, before=lambda: None):
-    """All fronts end and begin at one moment; `before` comes between."""
+def restart_fronts(fleet, names, before_start=lambda: None):
+    """Kill all fronts, call `before_start`, and start them all at one moment."""
     for name in names:
         fleet.kill_front(name)
-    before()
+    before_start()
     for name in names:
         fleet.start_front(name)
     for name in names:
         fleet.await_front(name)
 
 
-def sure(plan, count):
+def untrusted_nodes_are(plan, count):
     """Whether each front has `count` nodes that may not get plays yet."""
-    found = [state(front) for front in plan["fronts"]]
-    return all(one and one["list"]["unsure"] == count for one in found)
+    states = [state(front) for front in plan["fronts"]]
+    return all(shown and shown["list"]["unsure"] == count for shown in states)
 
 
-def play(plan, front, title, viewer):
+def request_play(plan, front, title, viewer):
     """The status of one viewer's request."""
-    where = plan["fronts"][front]
-    url = (
-        f"http://{where['address']}:{where['port']}/play/{title}?product=plain&viewer={viewer}&limit_ms=3000"
-    )
+    target = plan["fronts"][front]
+    url = f"http://{target['address']}:{target['port']}/play/{title}?product=plain&viewer={viewer}&limit_ms=3000"
     opener = urllib.request.build_opener(urllib.request.ProxyHandler({}))
     try:
         with opener.open(url, timeout=20) as answer:
@@ -54,60 +52,63 @@
         return err.code
 
 
-def written(plan):
+def all_records(plan):
     return records.merged([plan["records"][who] for who in ("fleet", "drill")])
 
 
-def wholes(rows, since):
-    """Whole lists that the service sent after the first record of that kind."""
+def full_lists_sent(rows, since):
+    """How many full lists the service sent after the first record of the kind `since`."""
     begin = min(row["t"] for row in rows if row["what"] == since)
     return sum(row["what"] == "said" and row["how"] == "whole" and row["t"] > begin for row in rows)
 
 
 @pytest.mark.parametrize(
-    ("days", "wrong", "left"),
+    ("days", "wrong", "untrusted"),
     [
         (0.0, 0.0, 0),  # fresh and right
-        (0.0, 0.5, 2),  # fresh, and half of it lies where another machine answers
-        (400.0, 0.0, 0),  # old: every node is believed once it has answered
+        (0.0, 0.5, 2),  # fresh, but another machine answers for half of it
+        (400.0, 0.0, 0),  # old: each node is trusted once it has answered
         (400.0, 0.5, 2),
     ],
 )
-def test_fronts_that_start_blind_place_only_where_the_right_machine_answers(tmp_path, days, wrong, left):
-    plan, names = begun(tmp_path)
+def test_fronts_without_list_service_use_only_nodes_that_answer_under_their_name(
+    tmp_path, days, wrong, untrusted
+):
+    plan, names = make_faulty_plan(tmp_path)
     with Processes(plan) as fleet:
-        poll(lambda: len(kept(tmp_path)) == FRONTS and listed(plan))
+        poll(lambda: len(kept_lists(tmp_path)) == FRONTS and list_states(plan))
         fleet.fault("list", "down", 1)
-        again(fleet, names, lambda: [fleet.edit_list(name, days, wrong) for name in names])
-        poll(lambda: sure(plan, left))
-        mine = [play(plan, i % FRONTS, f"clip-{i:02}", f"v{i}") for i in range(8)]
-        assert set(mine) <= {200, 503} and (mine.count(200) == 8 if not wrong else 200 in mine)
+        restart_fronts(fleet, names, lambda: [fleet.edit_list(name, days, wrong) for name in names])
+        poll(lambda: untrusted_nodes_are(plan, untrusted))
+        statuses = [request_play(plan, i % FRONTS, f"clip-{i:02}", f"v{i}") for i in range(8)]
+        assert set(statuses) <= {200, 503}
+        assert statuses.count(200) == 8 if not wrong else 200 in statuses
         fleet.fault("list", "down", 0)
-        poll(lambda: listed(plan) and sure(plan, 0))
-        for i in range(8):  # nodes that are new to a front are paced as cold for a while
-            poll(lambda i=i: play(plan, i % FRONTS, f"clip-{i:02}", f"w{i}") == 200)
-    rows = written(plan)
+        poll(lambda: list_states(plan) and untrusted_nodes_are(plan, 0))
+        for i in range(8):  # nodes new to a front count as cold for a while
+            poll(lambda i=i: request_play(plan, i % FRONTS, f"clip-{i:02}", f"w{i}") == 200)
+    rows = all_records(plan)
     assert [row for row in rows if row["what"] == "stray" and row["path"] == "/v1/plays"] == []
     assert judge(rows, terms_of(load(tmp_path / "front-0.textproto"))) == []
 
 
-def test_a_service_that_comes_back_older_calls_no_drained_node_back(tmp_path):
-    plan, names = begun(tmp_path)
+def test_service_restored_from_an_older_list_puts_no_drained_node_back(tmp_path):
+    plan, names = make_faulty_plan(tmp_path)
     with Processes(plan) as fleet:
-        poll(lambda: listed(plan))
+        poll(lambda: list_states(plan))
         for node in ("n001", "n002"):
             fleet.fault(node, "drain", 1)
-        poll(lambda: {one["version"] for one in listed(plan) or ()} == {3})
+        poll(lambda: {one["version"] for one in list_states(plan) or ()} == {3})
         fleet.fault("list", "older", 2.0)
         poll(lambda: all(one["list"]["behind"] for one in map(state, plan["fronts"])))
         for node in ("n001", "n002"):
             assert {
                 n["state"] for front in plan["fronts"] for n in state(front)["nodes"] if n["node"] == node
             } == {"draining"}
-        for node in ("n003", "n003", "n000"):  # it goes on from there, and passes what was known
+        for node in ("n003", "n003", "n000"):  # the service's versions catch up and pass the known one
             fleet.fault(node, "drain", 1)
-        poll(lambda: {(one["version"], one["behind"]) for one in listed(plan) or ()} == {(4, False)})
-        # only now is its word for n001 and n002 taken: they serve again
+        poll(lambda: {(one["version"], one["behind"]) for one in list_states(plan) or ()} == {(4, False)})
+        # Only now is its list used: n001 and n002 serve again.
         poll(
             lambda: {
                 n["state"]
@@ -120,9 +121,10 @@
 
 
 def health(front):
-    where = f"http://{front['address']}:{front['port']}/v1/health"
+    """The status of a front's health check; 0 if it can't be reached."""
+    url = f"http://{front['address']}:{front['port']}/v1/health"
     try:
-        with urllib.request.build_opener(urllib.request.ProxyHandler({})).open(where, timeout=20) as answer:
+        with urllib.request.build_opener(urllib.request.ProxyHandler({})).open(url, timeout=20) as answer:
             return answer.status
     except urllib.error.HTTPError as err:
         return err.code
@@ -130,128 +132,129 @@
         return 0  # not up yet
 
 
-def test_a_front_says_that_it_is_ready_once_it_can_place_or_knows_why_not(tmp_path):
-    plan, names = begun(tmp_path)
+def test_health_is_200_once_the_front_can_place_plays_or_knows_why_not(tmp_path):
+    plan, names = make_faulty_plan(tmp_path)
     with Processes(plan) as fleet:
-        poll(lambda: len(kept(tmp_path)) == FRONTS and listed(plan))
+        poll(lambda: len(kept_lists(tmp_path)) == FRONTS and list_states(plan))
         assert [health(front) for front in plan["fronts"]] == [200] * FRONTS
-        fleet.fault("link:list>*", "stall", 1)  # the service is asked, and says nothing
+        fleet.fault("link:list>*", "stall", 1)  # the service accepts requests and sends nothing
         for name in names[:2]:
             fleet.kill_front(name)
         (tmp_path / f"{names[0]}.list").unlink()
-        for name in names[1:]:  # nor does any peer
+        for name in names[1:]:  # nor can this front ask peers
             fleet.fault(f"link:{names[0]}>{name}", "cut", 1)
         for name in names[:2]:
             fleet.start_front(name)
-        poll(lambda: health(plan["fronts"][1]) == 200)  # by its kept list
+        poll(lambda: health(plan["fronts"][1]) == 200)  # it uses its kept list
         fleet.await_front(names[1])
         poll(lambda: health(plan["fronts"][0]) == 503)
-        assert play(plan, 0, "clip-00", "v0") == 503  # answered, not held
+        assert request_play(plan, 0, "clip-00", "v0") == 503  # declined at once
         fleet.fault("link:list>*", "stall", 0)
         poll(lambda: health(plan["fronts"][0]) == 200)
         fleet.await_front(names[0])
-        poll(lambda: play(plan, 0, "clip-00", "v1") == 200)
+        poll(lambda: request_play(plan, 0, "clip-00", "v1") == 200)
 
 
-def test_fronts_without_lists_get_them_from_the_one_that_has_one(tmp_path):
-    """The service is away; one front kept its list, three lost theirs and ask each other in a circle."""
-    plan, names = begun(tmp_path)
+def test_fronts_without_lists_get_one_from_the_first_front_that_has_it(tmp_path):
+    """While the service is down no front has a list; afterwards it gives one full list a second."""
+    plan, names = make_faulty_plan(tmp_path)
     with Processes(plan) as fleet:
-        poll(lambda: len(kept(tmp_path)) == FRONTS and listed(plan))
+        poll(lambda: len(kept_lists(tmp_path)) == FRONTS and list_states(plan))
         fleet.fault("list", "down", 1)
-        again(fleet, names, lambda: [path.unlink() for path in kept(tmp_path)])
-        assert play(plan, 0, "clip-00", "v0") == 503  # nobody has any
+        restart_fronts(fleet, names, lambda: [path.unlink() for path in kept_lists(tmp_path)])
+        assert request_play(plan, 0, "clip-00", "v0") == 503  # no front has a list
         for name in names[:1]:
             fleet.kill_front(name)
             data = b'{"how":"whole"}'
-            (tmp_path / f"{name}.list").write_bytes(data)  # torn or of nobody: started without, and said
+            (tmp_path / f"{name}.list").write_bytes(data)  # not a valid list: the front starts without one
             fleet.start_front(name)
             fleet.await_front(name)
-        assert play(plan, 0, "clip-00", "v1") == 503
+        assert request_play(plan, 0, "clip-00", "v1") == 503
         fleet.fault("list", "down", 0)
         fleet.fault("list", "capacity", 1.0)
         poll(lambda: all(one["list"]["version"] for one in map(state, plan["fronts"])))
         ages = [one["list"]["age_s"] for one in map(state, plan["fronts"])]
         assert all(0 <= age < 20 for age in ages)
-        poll(lambda: listed(plan))
-        assert {play(plan, i, "clip-00", f"w{i}") for i in range(FRONTS)} == {200}
-    rows = written(plan)
-    assert 1 <= wholes(rows, "killed") <= FRONTS
+        poll(lambda: list_states(plan))
+        assert {request_play(plan, i, "clip-00", f"w{i}") for i in range(FRONTS)} == {200}
+    rows = all_records(plan)
+    assert 1 <= full_lists_sent(rows, "killed") <= FRONTS
 
 
-def test_a_list_grows_old_on_its_way_from_front_to_front_and_drains_come_by_it(tmp_path):
-    """One front alone reaches the service; the rest hear through it, and through each other."""
-    plan, names = begun(tmp_path)
+def test_drain_reaches_fronts_without_list_service_through_their_peers(tmp_path):
+    """Only one front reaches the service; the others get the list from it and from each other."""
+    plan, names = make_faulty_plan(tmp_path)
     with Processes(plan) as fleet:
-        poll(lambda: len(kept(tmp_path)) == FRONTS and listed(plan))
+        poll(lambda: len(kept_lists(tmp_path)) == FRONTS and list_states(plan))
         for name in names[1:]:
             fleet.fault(f"link:{name}>list", "cut", 1)
             fleet.fault(f"link:list>{name}", "cut", 1)
-        fleet.fault(f"link:{names[3]}>{names[0]}", "cut", 1)  # this one hears through others alone
+        fleet.fault(f"link:{names[3]}>{names[0]}", "cut", 1)  # this one gets it through the others
         fleet.fault("n001", "drain", 1)
         poll(lambda: all(one["list"]["version"] == 2 for one in map(state, plan["fronts"])), timeout_s=60)
-        told = [
+        node_states = [
             {n["state"] for n in state(front)["nodes"] if n["node"] == "n001"} for front in plan["fronts"]
         ]
-        assert told == [{"draining"}] * FRONTS
+        assert node_states == [{"draining"}] * FRONTS
         assert not state(plan["fronts"][3])["list"]["reached"]
         for name in names[1:]:
             fleet.fault(f"link:{name}>list", "cut", 0)
             fleet.fault(f"link:list>{name}", "cut", 0)
-        poll(lambda: listed(plan), timeout_s=40)
-    assert wholes(written(plan), "fault") == 0  # the three were sent what they lacked, or nothing
+        poll(lambda: list_states(plan), timeout_s=40)
+    assert full_lists_sent(all_records(plan), "fault") == 0  # the three got what they lacked, or nothing
 
 
-@pytest.mark.parametrize("proof", ["", "Bearer nonsense"])
-def test_lists_are_for_fronts_of_the_fleet(tmp_path, proof):
-    plan, names = begun(tmp_path)
+@pytest.mark.parametrize("authorization", ["", "Bearer nonsense"])
+def test_list_request_without_a_valid_token_gets_403(tmp_path, authorization):
+    plan, names = make_faulty_plan(tmp_path)
     with Processes(plan):
-        poll(lambda: listed(plan))
-        where = plan["fronts"][0]
-        asked = urllib.request.Request(
-            f"http://{where['address']}:{where['port']}/v1/list?have=0", headers={"authorization": proof}
+        poll(lambda: list_states(plan))
+        target = plan["fronts"][0]
+        request = urllib.request.Request(
+            f"http://{target['address']}:{target['port']}/v1/list?have=0",
+            headers={"authorization": authorization},
         )
         with pytest.raises(urllib.error.HTTPError, match="403"):
-            urllib.request.build_opener(urllib.request.ProxyHandler({})).open(asked, timeout=20)
+            urllib.request.build_opener(urllib.request.ProxyHandler({})).open(request, timeout=20)
 
 
-def test_a_service_that_takes_requests_and_never_answers_locks_nobody_out(tmp_path):
-    plan, names = begun(tmp_path)
+def test_all_fronts_get_the_list_from_a_service_that_first_ignored_their_requests(tmp_path):
+    plan, names = make_faulty_plan(tmp_path)
     with Processes(plan) as fleet:
-        poll(lambda: len(kept(tmp_path)) == FRONTS and listed(plan))
+        poll(lambda: len(kept_lists(tmp_path)) == FRONTS and list_states(plan))
         fleet.fault("list", "silent", 1)
         fleet.fault("list", "capacity", 1.0)
-        again(fleet, names, lambda: [path.unlink() for path in kept(tmp_path)])
-        poll(lambda: listed(plan), timeout_s=40)
-    rows = written(plan)
+        restart_fronts(fleet, names, lambda: [path.unlink() for path in kept_lists(tmp_path)])
+        poll(lambda: list_states(plan), timeout_s=40)
+    rows = all_records(plan)
     assert sum(row["what"] == "shed" for row in rows) >= 1
 
 
-def test_fronts_cut_off_from_the_service_go_by_what_they_kept_and_join_again(tmp_path):
-    plan, names = begun(tmp_path)
+def test_fronts_cut_off_from_the_service_use_kept_lists_until_it_returns(tmp_path):
+    plan, names = make_faulty_plan(tmp_path)
     with Processes(plan) as fleet:
-        poll(lambda: len(kept(tmp_path)) == FRONTS and listed(plan))
+        poll(lambda: len(kept_lists(tmp_path)) == FRONTS and list_states(plan))
         fleet.fault(f"link:{names[0]}>list", "cut", 1)
         fleet.fault(f"link:list>{names[1]}", "cut", 1)
-        again(fleet, names)
+        restart_fronts(fleet, names)
         poll(lambda: all(state(front)["list"]["confirmed"] for front in plan["fronts"][2:]))
         assert [state(front)["list"]["confirmed"] for front in plan["fronts"][:2]] == [False, False]
-        assert {play(plan, i % 2, f"clip-{i % 8:02}", f"v{i}") for i in range(8)} == {200}
+        assert {request_play(plan, i % 2, f"clip-{i % 8:02}", f"v{i}") for i in range(8)} == {200}
         fleet.fault("n001", "drain", 1)
         poll(lambda: all(state(front)["list"]["version"] == 2 for front in plan["fronts"][2:]))
         fleet.fault(f"link:{names[0]}>list", "cut", 0)
         fleet.fault(f"link:list>{names[1]}", "cut", 0)
-        poll(lambda: {one["version"] for one in listed(plan) or ()} == {2})
-    assert wholes(written(plan), "killed") == 0  # the two were sent what they lacked, or nothing
+        poll(lambda: {one["version"] for one in list_states(plan) or ()} == {2})
+    assert full_lists_sent(all_records(plan), "killed") == 0  # the two got what they lacked, or nothing
 
 
-def test_a_front_that_stands_still_in_the_middle_of_its_start_is_current_once_it_wakes(tmp_path):
-    plan, names = begun(tmp_path)
+def test_front_paused_during_its_start_is_current_after_it_resumes(tmp_path):
+    plan, names = make_faulty_plan(tmp_path)
     with Processes(plan) as fleet:
-        poll(lambda: len(kept(tmp_path)) == FRONTS and listed(plan))
+        poll(lambda: len(kept_lists(tmp_path)) == FRONTS and list_states(plan))
         for name in names:
             fleet.kill_front(name)
-        fleet.fault(f"link:list>{names[0]}", "stall", 1)  # asked, and not answered yet
+        fleet.fault(f"link:list>{names[0]}", "stall", 1)  # requested, not answered yet
         for name in names:
             fleet.start_front(name)
         for name in names:
@@ -261,5 +264,5 @@
         poll(lambda: all(state(front)["list"]["version"] == 2 for front in plan["fronts"][1:]))
         fleet.fault(f"link:list>{names[0]}", "stall", 0)
         fleet.wake_front(names[0])
-        poll(lambda: {one["version"] for one in listed(plan) or ()} == {2})
-        assert json.loads(kept(tmp_path)[1].read_bytes())["kept"]["unix_ms"] > 0
+        poll(lambda: {one["version"] for one in list_states(plan) or ()} == {2})
+        assert json.loads(kept_lists(tmp_path)[1].read_bytes())["kept"]["unix_ms"] > 0
