--- a/bench/sites_sim.py
+++ b/bench/sites_sim.py
@@ -441,7 +441,10 @@
             self.world.after(self.world.rng.uniform(0.1, 3 * pause), self.reach, name, min(2.0, 1.5 * pause))
 
     def listed(self, rows, *facts, whole=False):
-        """Of nodes and of moves: nothing is kept here."""
+        """As `driver.nodes`: the node list is not needed."""
+
+    def nodes_listed(self, rows, now, unix_ms):
+        """As `driver.moves`: the node list is not needed."""
 
     def changes(self, rows):
         self.follower.take(forms.Listing("changes", 1, 1, rows), "changes")
