--- a/tests/sites/test_sites_decide.py
+++ b/tests/sites/test_sites_decide.py
@@ -24,11 +24,9 @@
     """A detector with three sites of six nodes, a virtual clock, and the actions it returned."""
 
     def __init__(self, peers=(1, 2, 3), seed=7):
-        self.now, self.detector, self.actions = (
-            100 * TICKS_PER_SECOND,
-            SiteDetector(100 * TICKS_PER_SECOND, 0, peers, seed, 5 * TICKS_PER_SECOND),
-            [],
-        )
+        self.now = 100 * TICKS_PER_SECOND
+        self.detector = SiteDetector(self.now, 0, peers, seed, 5 * TICKS_PER_SECOND)
+        self.actions = []
         self.module_hidden = set()  # nodes that the module was told are gone
         self.names = {site: [f"{site}{i}" for i in range(SITE_NODES)] for site in "abc"}
         self.list()
--- a/tests/start/test_start_faults.py
+++ b/tests/start/test_start_faults.py
@@ -218,7 +218,7 @@
             urllib.request.build_opener(urllib.request.ProxyHandler({})).open(request, timeout=20)
 
 
-def test_all_fronts_get_the_list_from_a_service_that_first_ignored_their_requests(tmp_path):
+def test_service_that_leaves_a_request_unanswered_locks_no_front_out(tmp_path):
     plan, names = make_faulty_plan(tmp_path)
     with Processes(plan) as fleet:
         poll(lambda: len(kept_lists(tmp_path)) == FRONTS and list_states(plan))
