--- a/curlewhall/start/decide.py
+++ b/curlewhall/start/decide.py
@@ -38,7 +38,7 @@
 PEER_LIST_INTERVAL_S = 5.0  # mean time between requests to peers while the list service is unreachable
 PEER_LISTS_PER_SECOND = 2  # full lists that a front hands out
 PEER_LIST_RETRY_AFTER_S = 1.0  # told to further fronts that ask in the same second
-MAX_RETRY_AFTER_S = 30.0  # longer Retry-After values are cut: kept lists are useful for less than that
+MAX_RETRY_AFTER_S = 30.0  # longer Retry-After values are cut: without updates the list becomes unreliable
 
 
 def fleet_span(per_front: float, fronts: int, maximum: float) -> float:
