--- a/curlewhall/daemon/handover.py
+++ b/curlewhall/daemon/handover.py
@@ -146,12 +146,12 @@
                 "list",
                 _pack(
                     Lists(
-                        few, [], follower.version, sorted(follower.drained_nodes), follower.subscription.life
+                        few, [], follower.version, sorted(follower.drained_nodes), follower.subscription.epoch
                     )
                 ),
             )
         for few in pieces(titles):
-            say("list", _pack(Lists([], few, follower.version, [], follower.subscription.life)))
+            say("list", _pack(Lists([], few, follower.version, [], follower.subscription.epoch)))
         for few in pieces((name, node.last_seen_at) for name, node in front.nodes.nodes.items()):
             say("known", _pack(few))
         for few in pieces(self.reports()):
@@ -367,7 +367,7 @@
         follower.rows = {row.node: row for row in self.rows}
         follower.titles = {title.title: title for title in self.titles}
         front.viewers.titles, follower.version = follower.titles, self.version
-        follower.subscription.life = self.life
+        follower.subscription.epoch = self.life
         shown = [follower.with_local_drain(row) for row in self.rows]
         front.nodes.listed([row for row in shown if row.state != "gone"], whole=True)
         for name, node in front.nodes.nodes.items():
--- a/curlewhall/front/listing.py
+++ b/curlewhall/front/listing.py
@@ -13,8 +13,15 @@
 
 from curlewhall.errors import describe
 from curlewhall.inventory.form import Inventory
-from curlewhall.start import Asks, Belief, Churn, Stamp, age, ready
-from curlewhall.start.decide import UNREADY
+from curlewhall.start import (
+    ListChangeRate,
+    ListSubscription,
+    NodeTrust,
+    Timestamp,
+    is_ready,
+    seconds_between,
+)
+from curlewhall.start.decide import READY_TIMEOUT_S
 from curlewhall.wire import forms
 from curlewhall.wire.client import Pool, Reply
 from curlewhall.wire.http import request_bytes
@@ -70,7 +77,7 @@
         self.kept_file = kept_file
         self.rows: dict[str, forms.Row] = {}
         self.titles: dict[str, forms.Title] = {}
-        self.subscription = Asks(seed, driver.start_settings.get("fronts", 1), has_peers)
+        self.subscription = ListSubscription(seed, driver.start_settings.get("fronts", 1), has_peers)
         self.line_parser = forms.Lines()
         self.stream = None
         self.silence_timer = None
@@ -91,9 +98,9 @@
         self.first_result_known = pool is None
         self.on_ready: Callable[[], None] | None = None
         self.drained_nodes: set[str] = set()  # drained by an operator at this front, whatever the list says
-        self.belief = Belief()
-        self.churn = Churn()
-        self.confirmed_stamp = Stamp(0, "", 0.0)  # when the list was last confirmed
+        self.belief = NodeTrust()
+        self.churn = ListChangeRate()
+        self.confirmed_stamp = Timestamp(0, "", 0.0)  # when the list was last confirmed
         self.confirmed_at = 0.0  # the same in seconds of the monotonic clock
 
     @property
@@ -112,7 +119,7 @@
                 self.read_kept_list(Path(self.kept_file))
             except (OSError, forms.DecodeError) as err:
                 self.driver.log.warning("the kept list can't be read; starting without it", why=describe(err))
-        wait = self.subscription.begin(self.subscription.life, self.version)
+        wait = self.subscription.first_delay(self.subscription.epoch, self.version)
         if self.watcher is not None:
             self.watcher.start()
         if self.pool is not None:
@@ -122,13 +129,13 @@
     def call_when_ready(self, callback: Callable[[], None]) -> None:
         """Call `callback` once this front can place plays, or knows that it has to decline them."""
         self.on_ready = callback
-        self.driver.timers.after(UNREADY, self.check_ready)
+        self.driver.timers.after(READY_TIMEOUT_S, self.check_ready)
         self.check_ready()
 
     @property
     def ready(self) -> bool:
         """Whether viewers may be sent to this front."""
-        return ready(
+        return is_ready(
             len(self.trusted_rows(self.rows.values())),
             self.first_result_known,
             time.monotonic() - self.started_at,
@@ -144,7 +151,7 @@
     def needs_list(self) -> bool:
         """Whether this front lacks a current list because the list service is silent, failing or behind."""
         return self.pool is not None and (
-            self.service_failing or not self.service_heard or self.subscription.behind
+            self.service_failing or not self.service_heard or self.subscription.service_is_behind
         )
 
     def accept_peer_list(self, listing: forms.Listing, seconds: float) -> None:
@@ -152,15 +159,17 @@
         if not lists.is_acceptable(self, listing, seconds):
             return
         now = current_stamp()
-        self.confirmed_stamp = Stamp(now.unix_ms - int(1000 * seconds), now.boot, now.steady - seconds)
-        whole, before = listing.how == "whole", self.belief.unsure
+        self.confirmed_stamp = Timestamp(
+            now.unix_ms - int(1000 * seconds), now.boot_id, now.steady_s - seconds
+        )
+        whole, before = listing.how == "whole", self.belief.untrusted
         rows = {row.node for row in (listing.rows if whole else self.rows.values())}
-        self.belief.kept(rows, self.churn.trust(seconds))
+        self.belief.use_unconfirmed_list(rows, self.churn.trust(seconds))
         if whole:
-            self.subscription.lent(listing.life, listing.version)
+            self.subscription.adopt_peer_list(listing.life, listing.version)
             self.apply_listing(listing, "old_copy")
         else:
-            self.update_module([self.rows[name] for name in sorted(before - self.belief.unsure & rows)])
+            self.update_module([self.rows[name] for name in sorted(before - self.belief.untrusted & rows)])
         self.driver.log.info(
             "list received from a peer", version=listing.version, age_s=round(seconds), whole=whole
         )
@@ -170,30 +179,30 @@
         kept_list = forms.decode(forms.Listing, path.read_bytes())
         # Lists written by older versions lack the time of confirmation; the file's own time stands for it.
         kept = kept_list.kept or forms.Kept(unix_ms=int(path.stat().st_mtime * 1000))
-        self.confirmed_stamp = Stamp(kept.unix_ms, kept.boot, kept.steady_s)
-        self.churn = Churn(kept.changes, kept.watched_s)
-        seconds = age(self.confirmed_stamp, current_stamp())
+        self.confirmed_stamp = Timestamp(kept.unix_ms, kept.boot, kept.steady_s)
+        self.churn = ListChangeRate(kept.changes, kept.watched_s)
+        seconds = seconds_between(self.confirmed_stamp, current_stamp())
         trust = self.churn.trust(seconds)
-        self.belief.kept({row.node for row in kept_list.rows}, trust)
+        self.belief.use_unconfirmed_list({row.node for row in kept_list.rows}, trust)
         self.apply_listing(kept_list, "old_copy")
-        self.subscription.life = kept_list.life
+        self.subscription.epoch = kept_list.life
         fields = {
             "nodes": len(kept_list.rows),
             "version": kept_list.version,
             "trust": round(trust, 3),
             "age_s": None if seconds is None else round(seconds),
         }
-        if not self.belief.unsure:
+        if not self.belief.untrusted:
             self.driver.log.info("kept list read", **fields)
         else:
-            how = "too old to be trusted" if self.belief.forgotten else "old"
+            how = "too old to be trusted" if self.belief.list_outdated else "old"
             self.driver.log.warning(
                 f"the kept list is {how}: nodes get plays once they have answered", **fields
             )
 
     def node_identified(self, name: str, named: str) -> None:
         """Handle the hello of the process at node `name`'s address, which calls itself `named`."""
-        trusted = self.belief.answered(name, named)
+        trusted = self.belief.node_answered(name, named)
         if trusted is not None and name in self.rows:
             self.update_module(
                 [self.rows[name] if trusted else forms.msgspec.structs.replace(self.rows[name], state="gone")]
@@ -214,7 +223,7 @@
     @property
     def untrusted_nodes(self) -> set[str]:
         """Nodes that get no plays, whatever the list says: unconfirmed, or at a lost site."""
-        return self.belief.unsure | self.driver.sites.hidden_nodes
+        return self.belief.untrusted | self.driver.sites.hidden_nodes
 
     def trusted_rows(self, rows) -> list[forms.Row]:
         """Return the rows of nodes that may get plays, with local drains applied."""
@@ -254,7 +263,7 @@
             return
         self.line_parser = forms.Lines()
         target = (
-            f"/v1/list?front={self.front}&have={self.version}&life={quote(self.subscription.life, safe='')}"
+            f"/v1/list?front={self.front}&have={self.version}&life={quote(self.subscription.epoch, safe='')}"
         )
         self.stream = self.pool.ask(
             request_bytes("GET", target, self.pool.host),
@@ -288,34 +297,34 @@
         """Handle one line of the list service: a whole list, changes or a tick."""
         self.service_failing = False
         if listing.how == "whole":
-            if self.subscription.whole(listing.life, listing.version):
+            if self.subscription.accept_full_list(listing.life, listing.version):
                 self.list_confirmed(count_changes(self.rows, listing.rows, whole=True))
                 self.apply_listing(listing, "whole")
             else:
                 self.driver.log.warning(
                     "the list service sent an older list than this front has; ignored",
-                    have=self.subscription.latest,
+                    have=self.subscription.latest_version,
                     told=listing.version,
                 )
         elif listing.how != "changes":
-            self.subscription.tick()
-            if self.version and not self.subscription.behind:
+            self.subscription.keepalive_received()
+            if self.version and not self.subscription.service_is_behind:
                 self.list_confirmed(0)
                 if time.monotonic() - self.written_at > KEPT_LIST_REFRESH_S:
                     self.save()  # only the time of confirmation is new
-        elif self.subscription.follows(listing.life, listing.since, listing.version):
+        elif self.subscription.accept_change(listing.life, listing.since, listing.version):
             now_trusted = self.list_confirmed(count_changes(self.rows, listing.rows, whole=False))
             self.apply_listing(listing, "changes")
             if now_trusted:
                 self.update_module([self.rows[name] for name in sorted(now_trusted) if name in self.rows])
-        elif self.subscription.missed(listing.life, listing.version):
+        elif self.subscription.reveals_newer(listing.life, listing.version):
             # These changes build on a version that was never received: ask for the whole list.
             self.driver.log.warning(
                 "a gap in the list's versions; asking for the whole list",
                 have=self.version,
                 since=listing.since,
             )
-            self.subscription.gap()
+            self.subscription.discard_version()
             self.driver.timers.after(0, self.stream.withdraw)
 
     def list_confirmed(self, changes: int) -> set[str]:
@@ -327,9 +336,9 @@
         heard_before = self.service_heard
         self.service_heard = True
         self.first_result_known = True
-        self.churn.saw(changes, len(self.rows) * (now - self.confirmed_at) if heard_before else 0.0)
+        self.churn.record(changes, len(self.rows) * (now - self.confirmed_at) if heard_before else 0.0)
         self.confirmed_at, self.confirmed_stamp = now, current_stamp()
-        return self.belief.spoken()
+        return self.belief.list_confirmed()
 
     def apply_listing(self, listing: forms.Listing, how: str) -> None:
         """Apply a listing: `whole` and `old_copy` replace the list, `changes` updates it."""
@@ -349,7 +358,7 @@
         module_rows = [
             row if row.node not in untrusted else forms.msgspec.structs.replace(row, state="gone")
             for row in rows
-            if row.node not in untrusted or row.state != "serving" and row.node not in self.belief.unsure
+            if row.node not in untrusted or row.state != "serving" and row.node not in self.belief.untrusted
         ]
         now, unix_ms = self.driver.clock.now(), int(time.time() * 1000)
         self.driver.nodes.listed(rows, whole=how != "changes")  # first: the module may allocate at once
@@ -440,14 +449,14 @@
         rows = [row for row in self.rows.values() if row.state != "gone"]
         kept = forms.Kept(
             self.confirmed_stamp.unix_ms,
-            self.confirmed_stamp.boot,
-            self.confirmed_stamp.steady,
+            self.confirmed_stamp.boot_id,
+            self.confirmed_stamp.steady_s,
             self.churn.changes,
-            self.churn.watched,
+            self.churn.node_seconds,
         )
         self.written_at = time.monotonic()
         whole = forms.Listing(
-            "whole", self.version, 0, rows, list(self.titles.values()), self.subscription.life, kept
+            "whole", self.version, 0, rows, list(self.titles.values()), self.subscription.epoch, kept
         )
         self.write_task = asyncio.get_running_loop().run_in_executor(
             None, replace_file, self.kept_file, forms.encode(whole)
@@ -478,7 +487,7 @@
         self.first_result_known = True
         self.check_ready()
         self.retry_timer = self.driver.timers.after(
-            self.subscription.ended(lists.retry_after_s(reply)), self.subscribe
+            self.subscription.retry_delay(lists.retry_after_s(reply)), self.subscribe
         )
         self.peer_list_client.on_service_failure()
 
@@ -486,13 +495,13 @@
         """Return the list's part of `/v1/state`."""
         return {
             "version": self.version,
-            "life": self.subscription.life,
+            "life": self.subscription.epoch,
             "confirmed": self.service_heard,
             "reached": self.service_heard and not self.service_failing,
-            "behind": self.subscription.behind,
+            "behind": self.subscription.service_is_behind,
             "trust": round(self.belief.trust, 3),
-            "unsure": len(self.belief.unsure),
-            "age_s": age(self.confirmed_stamp, current_stamp()),
+            "unsure": len(self.belief.untrusted),
+            "age_s": seconds_between(self.confirmed_stamp, current_stamp()),
         }
 
     def close(self) -> None:
--- a/curlewhall/front/lists.py
+++ b/curlewhall/front/lists.py
@@ -14,8 +14,15 @@
 
 from curlewhall.dash import tokens
 from curlewhall.errors import describe
-from curlewhall.start import Borrows, Had, Lends, Stamp, age, better
-from curlewhall.start.decide import LENT_LATER
+from curlewhall.start import (
+    ListVersion,
+    PeerListLimiter,
+    PeerListRequests,
+    Timestamp,
+    peer_list_is_better,
+    seconds_between,
+)
+from curlewhall.start.decide import PEER_LIST_RETRY_AFTER_S
 from curlewhall.wire import forms
 from curlewhall.wire.client import Pool, Reply
 from curlewhall.wire.http import request_bytes
@@ -35,19 +42,19 @@
     return BOOT_ID_FILE.read_text().strip() if BOOT_ID_FILE.exists() else ""
 
 
-def current_stamp() -> Stamp:
+def current_stamp() -> Timestamp:
     """Return the present time for a list on disk; without a boot id only its wall clock is used."""
-    return Stamp(
+    return Timestamp(
         int(time.time() * 1000), boot_id(), time.clock_gettime(time.CLOCK_BOOTTIME) if boot_id() else 0.0
     )
 
 
-def list_status(follower) -> Had:
+def list_status(follower) -> ListVersion:
     """Return the life, version and age of the follower's list."""
-    return Had(
-        follower.subscription.life,
-        follower.subscription.latest,
-        age(follower.confirmed_stamp, current_stamp()),
+    return ListVersion(
+        follower.subscription.epoch,
+        follower.subscription.latest_version,
+        seconds_between(follower.confirmed_stamp, current_stamp()),
     )
 
 
@@ -81,41 +88,41 @@
         self.timers = follower.driver.timers
         self.timer = None
         self.request = None
-        self.borrows = Borrows(seed, list(pools), follower.driver.start_settings.get("fronts", 1))
+        self.borrows = PeerListRequests(seed, list(pools), follower.driver.start_settings.get("fronts", 1))
         self.closed = False
 
     def start(self) -> None:
         """Schedule the first request; sooner if the follower has no list at all."""
-        wait = self.borrows.begin(bare=not self.follower.rows)
+        wait = self.borrows.first_delay(without_list=not self.follower.rows)
         if wait is not None:
             self.timer = self.timers.after(wait, self.ask_next_peer)
 
     def on_service_failure(self) -> None:
         """Schedule a request because the list service has just failed."""
         if self.timer is None and self.request is None and not self.closed:
-            self.timer = self.timers.after(self.borrows.waits.next(), self.ask_next_peer)
+            self.timer = self.timers.after(self.borrows.backoff.next_delay(), self.ask_next_peer)
 
     def ask_next_peer(self) -> None:
         """Request the list of the next peer, unless the follower has a current one."""
         self.timer = None
         if self.closed or self.follower.leaving or not self.follower.needs_list:
             return
-        peer = self.borrows.next(time.monotonic())
+        peer = self.borrows.next_peer(time.monotonic())
         if peer is None:
             self.schedule_next(None, accepted=False)
             return
         follower, pool = self.follower, self.pools[peer]
         session = tokens.Session("list", 0, TOKEN_AUDIENCE, follower.front, "", "")
         token = tokens.sign(session, self.token_key, time.time(), TOKEN_LIFETIME_S)
-        have = follower.subscription.latest if follower.rows else 0
-        target = f"/v1/list?have={have}&life={quote(follower.subscription.life, safe='')}"
+        have = follower.subscription.latest_version if follower.rows else 0
+        target = f"/v1/list?have={have}&life={quote(follower.subscription.epoch, safe='')}"
         data = request_bytes("GET", target, pool.host, authorization=f"Bearer {token}")
         self.request = pool.ask(data, REQUEST_TIMEOUT_S, lambda reply: self.response_received(peer, reply))
 
     def schedule_next(self, peer: int | None, accepted: bool, retry_after: float | None = None) -> None:
         """Schedule the next request after the result of `peer` (None: no peer could be asked)."""
         if not self.closed:
-            wait = self.borrows.ended(time.monotonic(), peer, accepted, retry_after)
+            wait = self.borrows.next_delay(time.monotonic(), peer, accepted, retry_after)
             self.timer = self.timers.after(wait, self.ask_next_peer)
 
     def response_received(self, peer: int, reply: Reply) -> None:
@@ -150,7 +157,7 @@
     def __init__(self, follower, token_key: bytes) -> None:
         self.follower = follower
         self.token_key = token_key
-        self.lends = Lends()
+        self.lends = PeerListLimiter()
 
     def handle_request(self, exchange: Exchange, query: str) -> None:
         """Answer `GET /v1/list`: the whole list, or only a confirmation where the peer has the same version.
@@ -164,16 +171,16 @@
             problems.answer(exchange, 403, f"Lists are given only to fronts of this fleet: {err}")
             return
         own, params = list_status(follower), dict(parse_qsl(query))
-        if not follower.rows or not self.lends.sound(own, follower.churn.trust(own.seconds)):
+        if not follower.rows or not self.lends.is_trusted(own, follower.churn.trust(own.age_s)):
             problems.answer(exchange, 404, "This front has no recently confirmed list")
             return
-        up_to_date = (params.get("have"), params.get("life", "")) == (str(own.version), own.life)
-        if not up_to_date and not self.lends.may(time.monotonic()):
+        up_to_date = (params.get("have"), params.get("life", "")) == (str(own.version), own.epoch)
+        if not up_to_date and not self.lends.allow(time.monotonic()):
             problems.answer(
                 exchange,
                 503,
                 "This front has sent the most whole lists that it may send for now",
-                retry_after=int(LENT_LATER * 10_000),
+                retry_after=int(PEER_LIST_RETRY_AFTER_S * 10_000),
             )
             return
         rows = [] if up_to_date else [row for row in follower.rows.values() if row.state != "gone"]
@@ -184,20 +191,20 @@
             own.version if up_to_date else 0,
             rows,
             titles,
-            own.life,
+            own.epoch,
         )
         exchange.reply(
             200,
-            {"content-type": "application/jsonl", "age": str(ceil(own.seconds))},
+            {"content-type": "application/jsonl", "age": str(ceil(own.age_s))},
             forms.encode(listing) + b"\n",
         )
 
 
 def is_acceptable(follower, listing: forms.Listing, seconds: float) -> bool:
     """Whether a peer's list, confirmed `seconds` ago, is valid and better than the follower's."""
-    offered = Had(listing.life, listing.version, seconds if seconds >= 0 else None)
+    offered = ListVersion(listing.life, listing.version, seconds if seconds >= 0 else None)
     return (
         listing.how in ("whole", "changes")
-        and better(list_status(follower), offered)
-        and Lends.sound(offered, follower.churn.trust(offered.seconds))
+        and peer_list_is_better(list_status(follower), offered)
+        and PeerListLimiter.is_trusted(offered, follower.churn.trust(offered.age_s))
     )
--- a/curlewhall/front/nodes.py
+++ b/curlewhall/front/nodes.py
@@ -10,7 +10,7 @@
 
 from curlewhall.errors import describe
 from curlewhall.interface import NodeRow
-from curlewhall.start import Turns
+from curlewhall.start import StreamSchedule
 from curlewhall.wire import forms
 from curlewhall.wire.client import Ask, Pool, Reply
 from curlewhall.wire.http import request_bytes
@@ -51,7 +51,7 @@
         front: str,
         connect_timeout_s: float,
         probe_timeout_s: float,
-        turns: Turns,
+        turns: StreamSchedule,
     ) -> None:
         self.driver = driver
         self.loop = loop
@@ -92,7 +92,7 @@
                     row, Pool(self.loop, self.timers, row.address, row.port, connect=self.connect_timeout_s)
                 )
                 self.nodes[row.node] = node
-                node.last_seen_at, node.retry_delays = self.driver.clock.now(), self.turns.back()
+                node.last_seen_at, node.retry_delays = self.driver.clock.now(), self.turns.reconnect_backoff()
             restarted = row.started_ms > node.row.started_ms
             if restarted or row.state == "gone":
                 # Idle connections to the previous process are dead, or lead to another one at the address.
@@ -101,7 +101,7 @@
             if row.state == "gone":
                 self.open_stream(node)
             elif node.stream is None and (restarted or node.retry_timer is None):
-                self.open_stream_later(node, self.turns.wait(row.node))
+                self.open_stream_later(node, self.turns.start_delay(row.node))
         if whole:
             listed_names = {row.node for row in rows}
             for node in [n for n in self.nodes.values() if n.row.node not in listed_names]:
@@ -306,7 +306,7 @@
             # may only be unreachable from here while its plays run on for their viewers: ended here, they
             # would be ended at the node by its next hello.
             self.node_lost(node.row.node)
-        self.open_stream_later(node, node.retry_delays.next())
+        self.open_stream_later(node, node.retry_delays.next_delay())
 
     def node_lost(self, name: str) -> None:
         """End all plays at a node that is gone."""
@@ -382,7 +382,7 @@
         )
         if started_since:
             self.loop.call_soon(node.stream.withdraw)
-        node.retry_delays.anew()
+        node.retry_delays.reset()
         # Plays that ended between the predecessor's hand-over and this hello ended normally.
         how = "ok" if node.from_predecessor else "broken"
         node.from_predecessor = False
--- a/curlewhall/front/peers.py
+++ b/curlewhall/front/peers.py
@@ -25,7 +25,7 @@
     def datagram_received(self, data: bytes, source) -> None:
         """Pass a peer's datagram to membership, or to the module if it is not for membership."""
         index = self.index_by_address.get((source[0], source[1]))
-        if index is not None and self.members is not None and self.members.heard(data):
+        if index is not None and self.members is not None and self.members.handle_datagram(data):
             self.last_heard_at[index] = self.driver.clock.now()
             return
         if index is not None and len(data) <= MAX_MESSAGE_BYTES:
--- a/curlewhall/front/serve.py
+++ b/curlewhall/front/serve.py
@@ -28,9 +28,9 @@
 from curlewhall.settings import start_settings
 from curlewhall.settings.front_pb2 import STRICT, FrontFile
 from curlewhall.settings.keys import read_keys
-from curlewhall.sites.decide import Sites
-from curlewhall.sites.run import Watch
-from curlewhall.start import Turns
+from curlewhall.sites.decide import SiteDetector
+from curlewhall.sites.run import SiteMonitor
+from curlewhall.start import StreamSchedule
 from curlewhall.wire.client import Pool
 from curlewhall.wire.http import Limits
 from curlewhall.wire.server import Server, listen
@@ -138,7 +138,7 @@
             name,
             connect_timeout_s,
             (permissions.probe_time_limit_ms or 250) / 1000,
-            Turns(seed, file.identity.index, file.identity.fronts),
+            StreamSchedule(seed, file.identity.index, file.identity.fronts),
         )
         self.peers = Peers(self.driver, {p.index: (p.address, p.port) for p in file.peer})
         self.driver.viewers, self.driver.nodes, self.driver.peers = self.viewers, self.nodes, self.peers
@@ -171,8 +171,8 @@
         self.viewers.peer_list_server = PeerListServer(self.follower, token_key)
         if service is not None and self.peer_pools:
             self.follower.peer_list_client = PeerListClient(self.follower, self.peer_pools, token_key, seed)
-        self.driver.sites = Watch(
-            self, file.identity.index, seed, lambda: self.viewers.titles, create_sites or Sites
+        self.driver.sites = SiteMonitor(
+            self, file.identity.index, seed, lambda: self.viewers.titles, create_sites or SiteDetector
         )
         self.open_store()
         drain_within = 10 * (file.moves.drain_within_ms or 30_000)
--- a/curlewhall/front/viewers.py
+++ b/curlewhall/front/viewers.py
@@ -143,7 +143,7 @@
                 exchange, 503, "This front has just started and has no list of titles yet", retry_after=1000
             )
             return
-        if title is None and self.follower is not None and self.follower.belief.blind:
+        if title is None and self.follower is not None and self.follower.belief.list_unconfirmed:
             # The title may be newer than the old list, so a final 404 would be wrong.
             problems.answer(
                 exchange, 503, "This front has only an old list, which lacks the title", retry_after=1000
