--- a/curlewhall/relay/nodes.py
+++ b/curlewhall/relay/nodes.py
@@ -319,7 +319,7 @@
         for connection in node.open_connections():
             if connection.set_ups or not connection.accepts(play):
                 continue
-            if not connection.transport.dead():
+            if not connection.transport.closed_by_peer():
                 return connection
             self.loop.call_soon(connection.transport.readable)
             connection.retiring = True
@@ -333,7 +333,7 @@
         ]
         return min(shared, key=lambda c: len(c.set_ups), default=None)
 
-    def opened(self, transport: Transport) -> None:
+    def connection_made(self, transport: Transport) -> None:
         """A connection has come up: send what waited for it."""
         connection = self.connections[transport]
         connection.connect_timer.cancel()
@@ -351,7 +351,7 @@
         ]:
             self.close_if_idle(other)  # it may be dead though it is open; this one is alive
 
-    def ended(self, transport: Transport, why: str) -> None:
+    def connection_lost(self, transport: Transport, why: str) -> None:
         """A connection has ended. A set-up that was never written may be sent on another; any other may have
         run.
         """
@@ -361,12 +361,12 @@
         node, partial = connection.node, bool(connection.reader.buffer)
         node.connections.remove(connection)
         connection.connect_timer.cancel()
-        if not transport.came_up:
+        if not transport.was_connected:
             node.failed_connects += 1
         if why == "unreached":
             self.silence_timeouts.suspect_zone(node.row.zone, time.monotonic())
         for name in list(connection.probes):
-            self.probe_ended(connection, name, "broken" if transport.came_up else "unreached", {})
+            self.probe_ended(connection, name, "broken" if transport.was_connected else "unreached", {})
         for set_up in list(connection.set_ups.values()):
             connection.set_ups.pop(set_up.play, None)
             set_up.connection = None
@@ -375,7 +375,7 @@
                     # Its answer was on the way, so the session may run there, and nothing else would end it.
                     self.tear_down(node, set_up.play)
                 set_up.settle("error" if why == "spoilt" else "broken", {})
-            elif transport.came_up and not set_up.retries:
+            elif transport.was_connected and not set_up.retries:
                 set_up.retries += 1  # nothing was written: another connection may be sound
                 self.start_set_up(set_up)
             else:
@@ -393,14 +393,14 @@
         """
         if not connection.idle or connection.transport.queue:
             return False
-        if connection.transport.unread():
+        if connection.transport.has_unread_data():
             self.loop.call_soon(connection.transport.readable)
             return False
         self.close_connection(connection)
         return True
 
     def close_connection(self, connection: Connection) -> None:
-        """Close a connection without `ended`, whatever is open on it."""
+        """Close a connection without `connection_lost`, whatever is open on it."""
         self.connections.pop(connection.transport, None)
         connection.node.connections.remove(connection)
         connection.connect_timer.cancel()
@@ -633,7 +633,7 @@
         connection.probes[session] = time.monotonic()
         self.timers.after(PROBE_TIMEOUT_S, self.probe_timed_out, connection, session)
         if connection.transport.open:
-            connection.transport.send(probe_request(session))  # otherwise sent in `opened`
+            connection.transport.send(probe_request(session))  # otherwise sent in `connection_made`
 
     def choose_any_connection(self, node: Node) -> Connection | None:
         """For a probe: any open connection, else one that is coming up, else a new one."""
@@ -656,13 +656,13 @@
 
     # ---- messages from nodes
 
-    def heard(self, transport: Transport, data: bytes) -> None:
+    def data_received(self, transport: Transport, data: bytes) -> None:
         """Bytes came on a connection: handle the messages in them."""
         connection = self.connections[transport]
         connection.last_received = connection.node.last_received = time.monotonic()
         for message in connection.reader.feed(data):
             self.handle_message(connection, message)
-            if transport.over:
+            if transport.closed:
                 return
         if connection.reader.error:
             self.log.warning(
--- a/curlewhall/relay/viewers.py
+++ b/curlewhall/relay/viewers.py
@@ -226,16 +226,16 @@
         yet to take would be cut.
         """
         transport = connection.transport
-        if transport.over:
+        if transport.closed:
             return True
         self.handle_received(connection)
         if self.is_owed(connection):
             return False
-        if transport.unread():
+        if transport.has_unread_data():
             transport.readable()
-            if transport.over:
+            if transport.closed:
                 return True
-            if self.is_owed(connection) or not connection.closing and transport.unread():
+            if self.is_owed(connection) or not connection.closing and transport.has_unread_data():
                 return False
         if connection.reader.buffer and not drop_partial and not connection.closing:
             return False
@@ -246,7 +246,7 @@
         """Whether a set-up there waits for an answer or to be handled, or an answer is being sent to a client
         that still takes bytes.
         """
-        stalled_s = time.monotonic() - connection.transport.moved
+        stalled_s = time.monotonic() - connection.transport.last_progress
         return (
             bool(connection.open_set_ups or connection.received)
             or bool(connection.transport.queue)
@@ -256,9 +256,9 @@
     def drop(self, connection: Connection) -> None:
         """Close a connection at once, whatever is open on it."""
         connection.transport.close()
-        self.ended(connection.transport, "dropped")
+        self.connection_lost(connection.transport, "dropped")
 
-    def ended(self, transport: Transport, why: str) -> None:
+    def connection_lost(self, transport: Transport, why: str) -> None:
         """A connection has ended: cancel the set-ups that were open on it."""
         connection = self.connections.pop(transport)
         self.served.pop(connection, None)
@@ -278,7 +278,7 @@
         """
         now = time.monotonic()
         for connection in list(self.connections.values()):
-            if connection.transport.unread():
+            if connection.transport.has_unread_data():
                 connection.transport.readable()  # on a busy core: what arrived in time counts
             if connection.closing:
                 self.close_if_clear(connection)
@@ -300,7 +300,7 @@
         connection.closing = True
         self.loop.call_soon(self.close_if_clear, connection)  # what was received already is handled first
 
-    def heard(self, transport: Transport, data: bytes) -> None:
+    def data_received(self, transport: Transport, data: bytes) -> None:
         """Bytes came on a connection: handle the messages in them."""
         connection = self.connections[transport]
         connection.received += connection.reader.feed(data)
@@ -336,15 +336,15 @@
         """
         connection = session.connection
         transport, handling = connection.transport, connection.handling
-        if transport.dead():
+        if transport.closed_by_peer():
             return True
         connection.handling = True
-        while len(connection.received) < MAX_READ_AHEAD and transport.unread():
+        while len(connection.received) < MAX_READ_AHEAD and transport.has_unread_data():
             transport.readable()
         connection.handling = handling
         if connection.received and not handling:
             self.loop.call_soon(self.handle_received, connection)
-        return transport.over or any(
+        return transport.closed or any(
             m.kind == messages.RELEASE and m.session == session.id for m in connection.received
         )
 
@@ -377,7 +377,7 @@
         self.stop_listening()
         if not self.refusing:
             for connection in list(self.connections.values()):
-                if connection.transport.unread():
+                if connection.transport.has_unread_data():
                     connection.transport.readable()  # it came in time, while this front was busy
             self.refusing = True
         for connection in sorted(self.connections.values(), key=lambda c: bool(c.sessions)):
--- a/curlewhall/wire/client.py
+++ b/curlewhall/wire/client.py
@@ -20,7 +20,7 @@
 
 from .http import HttpMessageError, Limits, Message, Responses
 from .timers import Timers
-from .transport import pending
+from .transport import has_input
 
 READ = 16384  # segments come in pieces of some kilobytes
 SPARE = 8  # idle connections kept for an address; more are closed as they come back
@@ -45,7 +45,7 @@
 
     def stale(self) -> bool:
         """Whether the other side has closed, or has said something that nobody asked for."""
-        return pending(self.sock)
+        return has_input(self.sock)
 
 
 class Ask:
--- a/curlewhall/wire/server.py
+++ b/curlewhall/wire/server.py
@@ -17,7 +17,7 @@
 
 from .http import HttpMessageError, Limits, Message, Requests, chunk, response_head
 from .timers import Timers
-from .transport import ended_by_peer, pending
+from .transport import closed_by_peer, has_input
 
 LOOK = 0.05  # seconds between two looks at a client that is not read from: gone, it is forgotten within 0.1 s
 READ = 2048  # bytes of a connection's own buffer: a viewer's request takes a few hundred
@@ -90,7 +90,7 @@
 
     def hung_up(self) -> bool:
         """Whether the client has ended the connection, though that was not read yet."""
-        return self.line.closed or ended_by_peer(self.line.sock)
+        return self.line.closed or closed_by_peer(self.line.sock)
 
 
 class Connection:
@@ -123,7 +123,7 @@
 
     def unread(self) -> bool:
         """Whether the client has said something, or hung up, and it was not read yet."""
-        return pending(self.sock)
+        return has_input(self.sock)
 
     def watch(self, span: float, why: str) -> None:
         if self.limit is not None:
@@ -190,7 +190,7 @@
                     with contextlib.suppress(TimeoutError):
                         async with asyncio.timeout(LOOK):
                             await self.room.wait()
-                    if ended_by_peer(self.sock):
+                    if closed_by_peer(self.sock):
                         self.close()
         except HttpMessageError as err:
             self.refuse(err)
--- a/curlewhall/wire/transport.py
+++ b/curlewhall/wire/transport.py
@@ -1,8 +1,8 @@
-"""One connection that never blocks and belongs to one owner: bytes in, bytes out, and how it ended.
+"""A non-blocking connection that belongs to one owner.
 
-Many share one buffer for reading, so that one that is silent costs a socket and little else. The owner is
-called as `opened(transport)`, `heard(transport, data)` and `ended(transport, why)`, the last once and never
-from within a call of the owner's.
+All connections share one read buffer, so that an idle one costs little more than its socket. The owner is
+called as `connection_made(transport)`, `data_received(transport, data)` and
+`connection_lost(transport, why)`; the last is called once, and never from within a call that the owner makes.
 """
 
 import errno
@@ -10,14 +10,14 @@
 import socket
 import time
 
-HUNG_UP = getattr(select, "POLLRDHUP", 0)  # Linux; elsewhere an end behind unread bytes is seen later
-BUFFER = bytearray(16384)  # of all: one thread reads, and gives away what it read before it reads again
+POLL_PEER_CLOSED = getattr(select, "POLLRDHUP", 0)  # Linux only; elsewhere unread bytes hide a close
+BUFFER = bytearray(16384)  # shared: one thread reads, and copies what it read before it reads again
 VIEW = memoryview(BUFFER)
-QUEUED = 1 << 16  # bytes that wait for a slow reader; four messages of the longest kind, then it ends
+MAX_QUEUED_BYTES = 1 << 16  # four messages of the longest kind; a reader that is slower is disconnected
 
 
-def pending(sock: socket.socket) -> bool:
-    """Whether a read would not wait: the other side has said something, or has ended."""
+def has_input(sock: socket.socket) -> bool:
+    """Whether a read would return at once: the other side has sent something or closed the connection."""
     try:
         sock.recv(1, socket.MSG_PEEK)
     except (BlockingIOError, InterruptedError):
@@ -27,10 +27,10 @@
     return True
 
 
-def ended_by_peer(sock: socket.socket) -> bool:
-    """Whether the other side has closed, half-closed or reset, asked of the kernel now.
+def closed_by_peer(sock: socket.socket) -> bool:
+    """Whether the other side has closed, half-closed or reset the connection, as the kernel knows it now.
 
-    Danger: bytes that nobody has read yet lie before the end and hide it from a read; a poll sees it.
+    A read doesn't show the end while unread bytes precede it, so the socket is polled as well.
     """
     try:
         if not sock.recv(1, socket.MSG_PEEK):
@@ -40,113 +40,122 @@
     except OSError:
         return True
     poll = select.poll()
-    poll.register(sock, HUNG_UP)
+    poll.register(sock, POLL_PEER_CLOSED)
     return bool(poll.poll(0))
 
 
 class Transport:
-    """A socket with its owner. `why` of an end: refused, unreached, closed, reset, full, or the owner's."""
-
-    __slots__ = ("loop", "sock", "owner", "queue", "open", "over", "came_up", "moved")
-
-    def __init__(self, loop, sock: socket.socket, owner, fresh: bool = False) -> None:
-        """`fresh`: the connection has yet to come up (`connect`)."""
-        self.loop, self.sock, self.owner, self.queue = loop, sock, owner, bytearray()
-        self.open = self.came_up = not fresh
-        self.over, self.moved = False, 0.0  # moved: when bytes of the queue last went out, or were put there
-        if fresh:
-            loop.add_writer(sock.fileno(), self.connected)
+    """A socket with its owner. It ends as refused, unreached, closed, reset, full, or as its owner says."""
+
+    __slots__ = ("loop", "sock", "owner", "queue", "open", "closed", "was_connected", "last_progress")
+
+    def __init__(self, loop, sock: socket.socket, owner, connecting: bool = False) -> None:
+        """`connecting`: the connection is not established yet (`connect`)."""
+        self.loop = loop
+        self.sock = sock
+        self.owner = owner
+        self.queue = bytearray()
+        self.open = self.was_connected = not connecting
+        self.closed = False
+        self.last_progress = 0.0  # when queued bytes were last written, or the queue was begun
+        if connecting:
+            loop.add_writer(sock.fileno(), self.connect_finished)
         else:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             loop.add_reader(sock.fileno(), self.readable)
 
-    def connected(self) -> None:
+    def connect_finished(self) -> None:
+        """The connection attempt has succeeded or failed. Called by the event loop."""
         self.loop.remove_writer(self.sock.fileno())
         code = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if code:
             self.end("refused" if code == errno.ECONNREFUSED else "unreached")
             return
-        self.open = self.came_up = True
+        self.open = self.was_connected = True
         self.loop.add_reader(self.sock.fileno(), self.readable)
-        self.owner.opened(self)
+        self.owner.connection_made(self)
 
     def readable(self) -> None:
-        if self.over:
+        """Read once and pass the bytes to the owner. Called by the event loop, or by the owner."""
+        if self.closed:
             return
         try:
-            got = self.sock.recv_into(BUFFER)
+            count = self.sock.recv_into(BUFFER)
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
             self.end("reset")
             return
-        if got:
-            self.owner.heard(self, bytes(VIEW[:got]))
+        if count:
+            self.owner.data_received(self, bytes(VIEW[:count]))
         else:
             self.end("closed")
 
-    def unread(self) -> bool:
-        """Whether the other side has said something that was not read yet."""
+    def has_unread_data(self) -> bool:
+        """Whether the other side has sent something that was not read yet."""
         try:
             return bool(self.sock.recv(1, socket.MSG_PEEK))
         except OSError:
             return False
 
-    def dead(self) -> bool:
-        """Whether the other side has ended it, though that was not read yet."""
-        return self.over or ended_by_peer(self.sock)
+    def closed_by_peer(self) -> bool:
+        """Whether the connection has ended, even if the end was not read yet."""
+        return self.closed or closed_by_peer(self.sock)
 
     def send(self, data: bytes) -> bool:
-        """Hand bytes over, in order. False: nothing of them went out, nor will it."""
-        if self.over or not self.open:
+        """Write or queue bytes, in order. False: none of them was written, nor will be."""
+        if self.closed or not self.open:
             return False
         if self.queue:
             self.queue += data
-            if len(self.queue) > QUEUED:
+            if len(self.queue) > MAX_QUEUED_BYTES:
                 self.loop.call_soon(self.end, "full")
             return True
         try:
-            done = self.sock.send(data)
+            count = self.sock.send(data)
         except (BlockingIOError, InterruptedError):
-            done = 0
+            count = 0
         except OSError:
             self.loop.call_soon(self.end, "reset")
             return False
-        if done < len(data):
-            self.queue += data[done:]
-            self.moved = time.monotonic()
+        if count < len(data):
+            self.queue += data[count:]
+            self.last_progress = time.monotonic()
             self.loop.add_writer(self.sock.fileno(), self.writable)
         return True
 
     def writable(self) -> None:
+        """Write queued bytes. Called by the event loop."""
         try:
-            done = self.sock.send(self.queue)
+            count = self.sock.send(self.queue)
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
             self.end("reset")
             return
-        del self.queue[:done]
-        self.moved = time.monotonic()
+        del self.queue[:count]
+        self.last_progress = time.monotonic()
         if not self.queue:
             self.loop.remove_writer(self.sock.fileno())
 
     def close(self) -> None:
-        """Close without a word to the owner."""
-        if not self.over:
-            self.over, self.open = True, False
+        """Close the socket without calling the owner."""
+        if not self.closed:
+            self.closed = True
+            self.open = False
             self.loop.remove_reader(self.sock.fileno())
             self.loop.remove_writer(self.sock.fileno())
             self.sock.close()
 
     def end(self, why: str) -> None:
-        if not self.over:
+        """Close the socket and call the owner's `connection_lost`."""
+        if not self.closed:
             self.close()
-            self.owner.ended(self, why)
+            self.owner.connection_lost(self, why)
 
 
 def connect(loop, address: tuple[str, int], owner) -> Transport:
-    """A transport on its way to `address`; `OSError` where not even a socket is to be had."""
+    """Start connecting to `address`; `OSError` if no socket can be created."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
     try:
@@ -155,7 +164,7 @@
         code = sock.connect_ex(address)
         if code not in (0, errno.EINPROGRESS, errno.EWOULDBLOCK, errno.ECONNREFUSED):
             raise OSError(code, "can't connect")
-        transport = Transport(loop, sock, owner, fresh=True)
+        transport = Transport(loop, sock, owner, connecting=True)
     except OSError:
         sock.close()
         raise
--- a/tests/relay/deployment.py
+++ b/tests/relay/deployment.py
@@ -121,10 +121,10 @@
         self.seen, self.nodes = env.platform.seen, env.relay.nodes
         self.send_set_up = self.nodes.send_set_up
         self.note_teardown = self.nodes.note_teardown
-        self.ended = self.nodes.ended
+        self.connection_lost = self.nodes.connection_lost
         self.nodes.send_set_up = self.record_set_up
         self.nodes.note_teardown = self.record_teardown
-        self.nodes.ended = self.record_close
+        self.nodes.connection_lost = self.record_close
 
     def record_set_up(self, set_up, connection):
         self.send_set_up(set_up, connection)
@@ -138,7 +138,7 @@
 
     def record_close(self, transport, why):
         self.seen.append(("relay", "closed", "", id(self.nodes.connections.get(transport))))
-        self.ended(transport, why)
+        self.connection_lost(transport, why)
 
     def overlapping(self):
         return overlapping(self.seen)
--- a/tests/relay/test_crossings.py
+++ b/tests/relay/test_crossings.py
@@ -42,8 +42,8 @@
     def complete(self):
         waiting, self.waiting = self.waiting, []
         for transport in waiting:
-            if not transport.over:
-                transport.connected()
+            if not transport.closed:
+                transport.connect_finished()
 
 
 @pytest.fixture
@@ -326,7 +326,7 @@
         while not connection.transport.queue:  # the kernel's buffers are full
             sent += connection.transport.send(reply * 1000) and 1000
         clock.now += after
-        connection.transport.moved = clock.now
+        connection.transport.last_progress = clock.now
         closer(env)
         await env.settle()
         await read_all(env, client, sent)
@@ -340,7 +340,7 @@
         client = Client(env)
         await env.settle()
         clock.now += viewers.MESSAGE_TIMEOUT_S + 0.1
-        unread, results = Transport.unread, []
+        unread, results = Transport.has_unread_data, []
 
         def unread_then_ask(transport):
             results.append(unread(transport))
@@ -348,7 +348,7 @@
                 client.ask("e" * 16)
             return results[-1]
 
-        monkeypatch.setattr(Transport, "unread", unread_then_ask)
+        monkeypatch.setattr(Transport, "has_unread_data", unread_then_ask)
         env.relay.viewers.check_connections()
         await env.settle()
         assert not results[0] and [m.kind for m in client.answers("e" * 16)] == [ANSWER]
@@ -821,10 +821,10 @@
         other = relay.open(node)
         first, second = held_connects.waiting
         held_connects.waiting.clear()
-        second.connected()
+        second.connect_finished()
         await env.settle()
         assert other.transport is second and not env.platform.of("asked for load")
-        first.connected()
+        first.connect_finished()
         await env.settle()
         assert endings == ["ok"] and len(env.platform.of("asked for load")) == 1
         relay.probe("n0")
