--- a/tests/relay/deployment.py
+++ b/tests/relay/deployment.py
@@ -221,7 +221,7 @@
         await self.settle()
         while timers.heap and timers.heap[0][0] <= until:
             self.clock.now = max(self.clock.now, timers.heap[0][0])
-            timers.ring()
+            timers.run_due()
             await self.settle()
         self.clock.now = until
 
--- a/tests/relay/test_crossings.py
+++ b/tests/relay/test_crossings.py
@@ -549,7 +549,7 @@
                 await env.advance(draw.choice([0.001, 0.01, 0.05, 0.15]))
             else:
                 clock.now += draw.choice([0.002, 0.05, 0.4])  # a busy core: nothing is read meanwhile
-                relay.timers.ring()
+                relay.timers.run_due()
             out = [
                 play
                 for c in relay.nodes.connections.values()
@@ -583,11 +583,11 @@
         await env.advance(1.0)
         assert relay.viewers.refusing and not client.closed()
         clock.now += 0.6  # the first one's patience is over
-        relay.timers.ring()
+        relay.timers.run_due()
         late = client.ask()
         for _ in range(3):  # nothing is read between these rounds
             clock.now += 0.002
-            relay.timers.ring()
+            relay.timers.run_due()
         await env.advance(0.5)
         assert [len(client.answers(name)) for name in (first, late)] == [1, 1] and client.closed()
         assert relay.stopped.is_set() and not env.sent(late)
