--- a/curlewhall/front/listing.py
+++ b/curlewhall/front/listing.py
@@ -78,7 +78,7 @@
         self.rows: dict[str, forms.Row] = {}
         self.titles: dict[str, forms.Title] = {}
         self.subscription = ListSubscription(seed, driver.start_settings.get("fronts", 1), has_peers)
-        self.line_parser = forms.Lines()
+        self.line_parser = forms.LineSplitter()
         self.stream = None
         self.silence_timer = None
         self.service_failing = False
@@ -178,7 +178,7 @@
         """Apply the kept list, trusted according to its age; raises `OSError` or `DecodeError`."""
         kept_list = forms.decode(forms.Listing, path.read_bytes())
         # Lists written by older versions lack the time of confirmation; the file's own time stands for it.
-        kept = kept_list.kept or forms.Kept(unix_ms=int(path.stat().st_mtime * 1000))
+        kept = kept_list.kept or forms.StoredListState(unix_ms=int(path.stat().st_mtime * 1000))
         self.confirmed_stamp = Timestamp(kept.unix_ms, kept.boot, kept.steady_s)
         self.churn = ListChangeRate(kept.changes, kept.watched_s)
         seconds = seconds_between(self.confirmed_stamp, current_stamp())
@@ -261,7 +261,7 @@
         if self.leaving:
             self.stream = None
             return
-        self.line_parser = forms.Lines()
+        self.line_parser = forms.LineSplitter()
         target = (
             f"/v1/list?front={self.front}&have={self.version}&life={quote(self.subscription.epoch, safe='')}"
         )
@@ -384,7 +384,7 @@
 
     def is_invalid(self, name: str, item: forms.Row | forms.Title) -> bool:
         """Whether a row or title has a value out of range, which would break calls about other plays."""
-        why = forms.wrong(item)
+        why = forms.find_fault(item)
         if why:
             self.driver.log.warning("invalid row or title in the list; ignored", name=name, why=why)
         return bool(why)
@@ -447,7 +447,7 @@
         """Start writing the current list in a thread."""
         self.write_pending = False
         rows = [row for row in self.rows.values() if row.state != "gone"]
-        kept = forms.Kept(
+        kept = forms.StoredListState(
             self.confirmed_stamp.unix_ms,
             self.confirmed_stamp.boot_id,
             self.confirmed_stamp.steady_s,
--- a/curlewhall/front/nodes.py
+++ b/curlewhall/front/nodes.py
@@ -31,7 +31,7 @@
         self.row = row
         self.pool = pool
         self.stream: Ask | None = None
-        self.line_parser = forms.Lines()
+        self.line_parser = forms.LineSplitter()
         self.hello_received = False
         self.retry_timer = None  # runs until its stream is requested again
         self.retry_delays = None
@@ -269,7 +269,7 @@
         if node.row.state == "gone":
             self.node_lost(node.row.node)  # its stream has ended and the list confirms that it is gone
         else:
-            node.line_parser, node.stream_requested_at = forms.Lines(), self.driver.clock.now()
+            node.line_parser, node.stream_requested_at = forms.LineSplitter(), self.driver.clock.now()
             data = request_bytes("GET", f"/v1/events?front={self.front}", node.pool.host)
             node.stream = node.pool.ask(
                 data,
--- a/curlewhall/front/parting.py
+++ b/curlewhall/front/parting.py
@@ -142,7 +142,7 @@
         driver.plays_at_predecessor[info.play] = active_play
         driver.register_existing_play(active_play, offer.node)
         body = forms.encode(
-            forms.Given(info.number, self.viewers.front, self.viewers.manifest_location(info))
+            forms.FrontChange(info.number, self.viewers.front, self.viewers.manifest_location(info))
         )
         node = driver.nodes.nodes[offer.node]
         data = request_bytes("PUT", f"/v1/plays/{info.play}/front", node.pool.host, body)
--- a/curlewhall/standins/links.py
+++ b/curlewhall/standins/links.py
@@ -309,7 +309,7 @@
     """What of the list has reached its front: only then has the front been told."""
 
     def __init__(self, links: Links, door: Door) -> None:
-        self.links, self.door, self.lines = links, door, forms.Lines()
+        self.links, self.door, self.lines = links, door, forms.LineSplitter()
 
     def asked(self, data: bytes | None) -> None:
         pass
--- a/curlewhall/standins/node.py
+++ b/curlewhall/standins/node.py
@@ -247,7 +247,7 @@
         """A play goes to another front, one that has a stream here."""
         play = self.plays.get(name)
         try:
-            asked = forms.decode(forms.Given, exchange.request.body)
+            asked = forms.decode(forms.FrontChange, exchange.request.body)
         except forms.DecodeError as err:
             exchange.reply(400, {}, str(err).encode())
             return
--- a/curlewhall/wire/forms.py
+++ b/curlewhall/wire/forms.py
@@ -1,6 +1,6 @@
-"""What fronts, nodes and the list service say to each other over HTTP, as JSON. See `docs/protocol.md`.
+"""JSON messages between fronts, nodes and the list service over HTTP. See `docs/protocol.md`.
 
-Times are milliseconds, rates kB a second, `started_ms` milliseconds since 1970 (0: long past).
+Times are in milliseconds, rates in kB per second; `started_ms` is in milliseconds since 1970 (0: long ago).
 """
 
 import ipaddress
@@ -9,17 +9,19 @@
 
 from curlewhall.errors import CurlewhallError
 
-LINE = 4 << 20  # bytes of one line of a stream at most: a hello that names 10,000 plays is half of that
+MAX_LINE_BYTES = 4 << 20  # of a stream: a hello with 10,000 plays has half as many
 
 
 class DecodeError(CurlewhallError):
-    """What came is not of its form."""
+    """Received data that can't be decoded as the expected message."""
 
-    remedy = "See that both sides run versions that know each other; what was unreadable is left out."
+    remedy = "Check that both sides run compatible versions; the message was ignored."
 
 
 class PlayInfo(msgspec.Struct, frozen=True):
-    """What a node keeps of a play for the front that holds it, and gives back to one that starts anew."""
+    """A play as a node stores it for the front that is responsible for it, and reports it to a front that has
+    restarted.
+    """
 
     play: str
     number: int
@@ -33,7 +35,7 @@
 
 
 class SetUp(msgspec.Struct, frozen=True):
-    """POST /v1/plays: set a play up, within `span_ms`."""
+    """POST /v1/plays: set up a play, within `span_ms`."""
 
     front: str
     facts: PlayInfo
@@ -41,7 +43,10 @@
 
 
 class SetUpDone(msgspec.Struct, frozen=True):
-    """201: it plays. 503: refused, nothing ran. A node names itself, so that a stranger's answer is told."""
+    """The answer to `SetUp`. 201: the play is set up. 503: it was refused and nothing ran.
+
+    `node` is the name of the node that answers, so that the answer of another program can be recognised.
+    """
 
     node: str
     play: str = ""
@@ -51,14 +56,16 @@
 
 
 class Rung(msgspec.Struct, frozen=True):
-    """PUT /v1/plays/PLAY/rung."""
+    """PUT /v1/plays/PLAY/rung: change the rung of an allocation."""
 
     number: int
     rung: int
 
 
-class Given(msgspec.Struct, frozen=True):
-    """PUT /v1/plays/PLAY/front: another front holds the play from now on; `location`: its manifest there."""
+class FrontChange(msgspec.Struct, frozen=True):
+    """PUT /v1/plays/PLAY/front: another front is responsible for the play from now on; its manifest is at
+    `location`.
+    """
 
     number: int
     front: str
@@ -66,7 +73,7 @@
 
 
 class Offer(msgspec.Struct, frozen=True):
-    """POST /v1/offer, at a front: take over this play, which plays at `node`."""
+    """POST /v1/offer, at a front: take over this play, which runs at `node`."""
 
     front: str
     facts: PlayInfo
@@ -74,7 +81,7 @@
 
 
 class Load(msgspec.Struct, frozen=True):
-    """GET /v1/load."""
+    """The answer to GET /v1/load: the load report of a node."""
 
     node: str
     report: dict[str, float] = {}
@@ -95,7 +102,7 @@
 
 
 class Row(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A playout node, as the list service names it."""
+    """A playout node in the list of the list service."""
 
     node: str
     address: str
@@ -109,7 +116,7 @@
 
 
 class Title(msgspec.Struct, frozen=True):
-    """A title, held by `places` places in a row from `first_place`."""
+    """A title, stored at `places` consecutive places from `first_place` on."""
 
     title: str
     first_place: int
@@ -117,9 +124,11 @@
     length_s: float
 
 
-class Kept(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Of a list on disk: when the service last confirmed it (since 1970; the machine's boot and seconds since
-    that), and how many changes were seen in how many node-seconds.
+class StoredListState(msgspec.Struct, frozen=True, omit_defaults=True):
+    """The state of a list stored on disk: when the service last confirmed it, and how often it changes.
+
+    `unix_ms` is that time since 1970, `steady_s` the same since the machine's boot `boot`. `changes` changes
+    were seen in `watched_s` node-seconds.
     """
 
     unix_ms: int = 0
@@ -132,8 +141,8 @@
 class Listing(msgspec.Struct, frozen=True, omit_defaults=True):
     """A line of GET /v1/list?front=NAME&have=VERSION&life=LIFE.
 
-    `how`: whole, changes (since `since`; none, and the same version: what is had stands), tick. `life` names
-    the service's life, in which versions count.
+    `how`: whole, changes (since version `since`; none, with the same version: the list is unchanged), tick.
+    `life` identifies the run of the service; versions of different runs can't be compared.
     """
 
     how: str
@@ -142,27 +151,28 @@
     rows: list[Row] = []
     titles: list[Title] = []
     life: str = ""
-    kept: Kept | None = None
+    kept: StoredListState | None = None
 
 
-# What a list or an inventory may say; beyond it there is a slip, or nothing that can be reckoned with.
+# Valid values in a list or an inventory, both bounds included.
 ROW_BOUNDS = {"port": (1, 65535), "place": (0, 1_000_000), "weight": (1e-3, 1e6), "started_ms": (0, 1 << 53)}
 TITLE_BOUNDS = {"first_place": (0, 1_000_000), "places": (1, 1_000_000), "length_s": (0.1, 1e7)}
 
 
-def wrong(thing: Row | Title) -> str:
-    """What can't be right about a row or title; "" where nothing is."""
-    for name, (low, high) in (ROW_BOUNDS if isinstance(thing, Row) else TITLE_BOUNDS).items():
-        if not low <= getattr(thing, name) <= high:
-            return f"{name}: found {getattr(thing, name):g}, expected {low:g} to {high:g}"
+def find_fault(entry: Row | Title) -> str:
+    """The first invalid value of a row or title, as an error message; "" if there is none."""
+    for name, (low, high) in (ROW_BOUNDS if isinstance(entry, Row) else TITLE_BOUNDS).items():
+        if not low <= getattr(entry, name) <= high:
+            return f"{name}: found {getattr(entry, name):g}, expected {low:g} to {high:g}"
     return (
         ""
-        if isinstance(thing, Title) or is_address(thing.address)
-        else f"address: found {thing.address[:40]!r}, expected an IPv4 or IPv6 address"
+        if isinstance(entry, Title) or is_address(entry.address)
+        else f"address: found {entry.address[:40]!r}, expected an IPv4 or IPv6 address"
     )
 
 
 def is_address(text: str) -> bool:
+    """Whether a text is an IPv4 or IPv6 address."""
     try:
         ipaddress.ip_address(text)
     except ValueError:
@@ -174,25 +184,26 @@
 _decoders: dict[type, msgspec.json.Decoder] = {}
 
 
-def decode(form: type, data: bytes):
-    """`data` as a `form`, or `DecodeError` with what is wrong."""
-    decoder = _decoders.get(form)
+def decode(message_type: type, data: bytes):
+    """`data` as a `message_type`; `DecodeError` says what is wrong."""
+    decoder = _decoders.get(message_type)
     if decoder is None:
-        decoder = _decoders[form] = msgspec.json.Decoder(form)
+        decoder = _decoders[message_type] = msgspec.json.Decoder(message_type)
     try:
         return decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as err:
         raise DecodeError(str(err)) from None
 
 
-class Lines:
-    """Cuts a stream into its lines; `DecodeError` for one without end."""
+class LineSplitter:
+    """Splits a stream into lines; `DecodeError` if one is longer than MAX_LINE_BYTES."""
 
     def __init__(self) -> None:
         self.rest = b""
 
     def feed(self, data: bytes) -> list[bytes]:
+        """The lines that `data` completes, without empty ones."""
         *lines, self.rest = (self.rest + data).split(b"\n")
-        if len(self.rest) > LINE:
-            raise DecodeError("a line without end")
+        if len(self.rest) > MAX_LINE_BYTES:
+            raise DecodeError(f"a line of more than {MAX_LINE_BYTES} bytes")
         return [line for line in lines if line]
