--- a/curlewhall/standins/node.py
+++ b/curlewhall/standins/node.py
@@ -137,7 +137,7 @@
             if "garbage" in self.faults
             else b"HTTP/1.1 200 OK\r\n" + b"x-more: and more\r\n" * 4000
         )
-        exchange.keep = False
+        exchange.keep_alive = False
         exchange.line.ready()
 
     def take(self, exchange: Exchange) -> None:
--- a/curlewhall/wire/client.py
+++ b/curlewhall/wire/client.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from .http import HttpMessageError, Limits, Message, Responses
+from .http import HttpMessageError, Limits, Message, ResponseParser
 from .timers import Timers
 from .transport import has_input
 
@@ -41,7 +41,7 @@
     __slots__ = ("sock", "parser", "buffer", "used")
 
     def __init__(self, sock: socket.socket, limits: Limits) -> None:
-        self.sock, self.parser, self.buffer, self.used = sock, Responses(limits), bytearray(READ), 0
+        self.sock, self.parser, self.buffer, self.used = sock, ResponseParser(limits), bytearray(READ), 0
 
     def stale(self) -> bool:
         """Whether the other side has closed, or has said something that nobody asked for."""
@@ -141,10 +141,10 @@
                 ask.settle(Reply("not_sent", None, time.monotonic() - ask.asked_at, "no longer wanted"))
                 self.give(line)
                 return
-            ask.sent, line.parser.tell = True, ask.tell
+            ask.sent, line.parser.on_body_piece = True, ask.tell
             await self.loop.sock_sendall(line.sock, ask.data)
             message = await self.receive(line)
-            if message.keep:
+            if message.keep_alive:
                 self.give(line)
                 line = None
             ask.settle(Reply("ok", message, time.monotonic() - ask.asked_at))
@@ -174,7 +174,7 @@
                 parser.messages.popleft()
         message = parser.messages.popleft()
         # Danger: an answer more than was asked for would be taken for that of the next request.
-        message.keep = message.keep and not parser.messages and parser.current is None
+        message.keep_alive = message.keep_alive and not parser.messages and parser.current is None
         return message
 
     async def take(self) -> tuple[Line | None, str]:
@@ -208,7 +208,7 @@
 
     def give(self, line: Line) -> None:
         line.used += 1
-        line.parser.tell = None
+        line.parser.on_body_piece = None
         if self.closed or len(self.idle) >= SPARE:
             line.sock.close()
         else:
--- a/curlewhall/wire/http.py
+++ b/curlewhall/wire/http.py
@@ -1,7 +1,7 @@
-"""Messages of HTTP/1.1 (RFC 9112) from bytes and back. No I/O, no clock.
+"""Parses and serialises messages of HTTP/1.1 (RFC 9112). No I/O, no clock.
 
-httptools does the parsing; what is added here are the limits on sizes and the shapes that two programs on a
-way could read differently (request smuggling, RFC 9112 section 11.2), which are refused.
+httptools does the parsing. This module adds limits on sizes, and rejects messages that two programs on the
+way could interpret differently (request smuggling, RFC 9112 section 11.2).
 """
 
 from collections import deque
@@ -16,21 +16,21 @@
 
 
 class Limits(NamedTuple):
-    """Sizes in bytes, times in seconds. The figures leave ten times what our own messages need."""
+    """Sizes in bytes, times in seconds. The defaults are ten times what the project's own messages need."""
 
     line: int = 4096  # the request target
-    head: int = 16384  # all of the start line and header fields
+    head: int = 16384  # the start line and all header fields
     body: int = 1 << 20
     connections: int = 10_000
-    pipeline: int = 16  # requests of a connection waiting for their answers
-    queued: int = 1 << 20  # bytes waiting for a slow reader, then the connection is closed
+    pipeline: int = 16  # unanswered requests of a connection
+    queued: int = 1 << 20  # bytes queued for a slow reader; beyond it the connection is closed
     read: float = 10.0  # from a message's first byte to its last
     idle: float = 30.0  # between messages
-    write: float = 10.0  # for one piece of an answer
+    write: float = 10.0  # for one piece of a response
 
 
 class HttpMessageError(CurlewhallError):
-    """A message that is not taken; `status` is the answer to it (RFC 9110 section 15.5)."""
+    """A message that is rejected; `status` is the response to it (RFC 9110 section 15.5)."""
 
     remedy = (
         "Look at the sender: it does not speak HTTP/1.1, or goes over a limit of limits { } "
@@ -39,89 +39,108 @@
 
     def __init__(self, status: int, why: str) -> None:
         super().__init__(why)
-        self.status, self.why = status, why
+        self.status = status
+        self.why = why
 
 
 class Message:
     """A request (`method`, `target`) or a response (`status`). Header names are in lower case."""
 
-    __slots__ = ("method", "target", "status", "headers", "body", "keep", "done")
+    __slots__ = ("method", "target", "status", "headers", "body", "keep_alive", "complete")
 
     def __init__(self) -> None:
         self.method = self.target = ""
-        self.status, self.headers, self.body, self.keep, self.done = 0, {}, b"", True, False
+        self.status = 0
+        self.headers = {}
+        self.body = b""
+        self.keep_alive = True
+        self.complete = False
 
 
-class Reader:
-    """Collects messages from fed bytes; complete ones wait in `messages`.
+class MessageParser:
+    """Parses bytes as they arrive; complete messages are queued in `messages`.
 
-    Raises `HttpMessageError` from `feed` for what breaks the form or a limit. The reader is of no use after
+    `feed` raises `HttpMessageError` if a message is malformed or over a limit. The parser can't be used after
     that.
     """
 
     def __init__(self, limits: Limits) -> None:
-        self.limits, self.messages = limits, deque()
-        self.current, self.seen, self.fields, self.pieces, self.names = None, 0, 0, [], None
-        self.parser = self.make()
+        self.limits = limits
+        self.messages = deque()
+        self.current = None  # the message that is being parsed
+        self.head_size = 0  # bytes fed since the current head began
+        self.field_size = 0  # bytes of its header fields
+        self.pieces = []
+        self.names = None  # names of the header fields so far; None outside a head
+        self.parser = self.make_parser()
 
-    def make(self):
+    def make_parser(self):
+        """The httptools parser, which calls the `on_` methods of this object."""
         raise NotImplementedError
 
     def feed(self, data) -> None:
-        """Take bytes; `HttpMessageError` when they can't be the continuation of a sound message."""
-        before, whole = self.current, len(self.messages)
+        """Parse bytes; `HttpMessageError` if they can't continue a valid message."""
+        before, complete = self.current, len(self.messages)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            raise HttpMessageError(501, "no other protocol is spoken here") from None
+            raise HttpMessageError(501, "a protocol upgrade is not supported") from None
         except httptools.HttpParserCallbackError as err:
             cause = err.__context__
             raise cause if isinstance(cause, HttpMessageError) else HttpMessageError(400, f"{err}") from None
         except httptools.HttpParserError as err:
             raise HttpMessageError(400, str(err) or "malformed") from None
         if self.current is not None and self.names is not None:
-            # Danger: a head without end. What came since its first byte counts, however it is cut up.
-            if before is self.current or whole == len(self.messages):
-                self.seen = max(self.seen, len(data)) if before is not self.current else self.seen + len(data)
-            if self.seen > self.limits.head:
+            # A head without end is only noticed here: what came since its first byte counts, however it is
+            # divided into segments.
+            if before is self.current or complete == len(self.messages):
+                self.head_size = (
+                    max(self.head_size, len(data))
+                    if before is not self.current
+                    else self.head_size + len(data)
+                )
+            if self.head_size > self.limits.head:
                 raise HttpMessageError(431, "the head is too long")
 
-    # ---- called by the parser
+    # ---- callbacks of httptools
 
     def on_message_begin(self) -> None:
-        self.current, self.seen, self.fields = Message(), 0, 0
-        self.pieces, self.names = [], set()
+        self.current = Message()
+        self.head_size = 0
+        self.field_size = 0
+        self.pieces = []
+        self.names = set()
 
     def on_header(self, name: bytes, value: bytes) -> None:
         key = name.decode("latin-1").lower()
-        self.fields += len(name) + len(value) + 4
-        if self.fields > self.limits.head:
+        self.field_size += len(name) + len(value) + 4
+        if self.field_size > self.limits.head:
             raise HttpMessageError(431, "the head is too long")
         if b"\r" in value or b"\0" in value or b"\n" in value:
             raise HttpMessageError(400, "a bare CR, LF or NUL in a field")
         if key in self.names and key in ("content-length", "transfer-encoding", "host"):
-            raise HttpMessageError(400, f"{key} twice")
+            raise HttpMessageError(400, f"{key} is repeated")
         self.names.add(key)
         old = self.current.headers.get(key)
         text = value.decode("latin-1").strip()
         self.current.headers[key] = text if old is None else f"{old}, {text}"
 
     def on_headers_complete(self) -> None:
-        heads = self.current.headers
-        if "content-length" in heads and "transfer-encoding" in heads:
-            raise HttpMessageError(400, "both a length and chunks")
-        if heads.get("transfer-encoding", "chunked").lower() != "chunked":
-            raise HttpMessageError(501, "no transfer coding but chunked")
-        length = heads.get("content-length", "0")
+        headers = self.current.headers
+        if "content-length" in headers and "transfer-encoding" in headers:
+            raise HttpMessageError(400, "both content-length and transfer-encoding")
+        if headers.get("transfer-encoding", "chunked").lower() != "chunked":
+            raise HttpMessageError(501, "a transfer coding other than chunked is not supported")
+        length = headers.get("content-length", "0")
         if not (length.isascii() and length.isdigit()):
-            raise HttpMessageError(400, "a length that is no number")
+            raise HttpMessageError(400, "content-length is not a number")
         if int(length) > self.limits.body:
             raise HttpMessageError(413, "the body is too long")
         self.names = None
-        self.headed()
+        self.check_head()
 
-    def headed(self) -> None:
-        """What else is to be looked at once the head is whole."""
+    def check_head(self) -> None:
+        """Further checks of a complete head, made by subclasses."""
 
     def on_body(self, data: bytes) -> None:
         self.pieces.append(data)
@@ -130,16 +149,17 @@
 
     def on_message_complete(self) -> None:
         message, self.current = self.current, None
-        message.body, message.done = b"".join(self.pieces), True
-        message.keep = self.parser.should_keep_alive()
+        message.body = b"".join(self.pieces)
+        message.complete = True
+        message.keep_alive = self.parser.should_keep_alive()
         self.pieces = []
         self.messages.append(message)
 
 
-class Requests(Reader):
-    """Requests as they come over one connection."""
+class RequestParser(MessageParser):
+    """Parses the requests of one connection."""
 
-    def make(self):
+    def make_parser(self):
         return httptools.HttpRequestParser(self)
 
     def on_url(self, url: bytes) -> None:
@@ -147,43 +167,45 @@
         if len(self.current.target) > self.limits.line:
             raise HttpMessageError(414, "the target is too long")
 
-    def headed(self) -> None:
+    def check_head(self) -> None:
         self.current.method = self.parser.get_method().decode("latin-1")
         version = self.parser.get_http_version()
         if version not in ("1.0", "1.1"):
-            raise HttpMessageError(505, "HTTP/1.0 and HTTP/1.1 only")
+            raise HttpMessageError(505, "only HTTP/1.0 and HTTP/1.1 are supported")
         if version == "1.1" and "host" not in self.current.headers:
-            raise HttpMessageError(400, "no host")  # RFC 9112 section 3.2
+            raise HttpMessageError(400, "the host field is missing")  # RFC 9112 section 3.2
 
     def feed(self, data) -> None:
         super().feed(data)
-        # Danger: a request target without end never reaches a header.
+        # A request target without end never reaches the checks of header fields.
         if self.current is not None and len(self.current.target) > self.limits.line:
             raise HttpMessageError(414, "the target is too long")
 
 
-class Responses(Reader):
-    """Responses as they come over one connection. `tell(message, piece)` hears bodies as they arrive."""
+class ResponseParser(MessageParser):
+    """Parses the responses of one connection. `on_body_piece(message, piece)`, if given, gets bodies as they
+    arrive, and the messages then have none.
+    """
 
-    def __init__(self, limits: Limits, tell=None) -> None:
+    def __init__(self, limits: Limits, on_body_piece=None) -> None:
         super().__init__(limits)
-        self.tell = tell
+        self.on_body_piece = on_body_piece
 
-    def make(self):
+    def make_parser(self):
         return httptools.HttpResponseParser(self)
 
-    def headed(self) -> None:
+    def check_head(self) -> None:
         self.current.status = self.parser.get_status_code()
 
     def on_body(self, data: bytes) -> None:
-        if self.tell is None:
+        if self.on_body_piece is None:
             super().on_body(data)
         else:
-            self.tell(self.current, data)
+            self.on_body_piece(self.current, data)
 
 
 def head_bytes(start: str, fields: dict[str, str]) -> bytes:
-    """A start line and fields as bytes; `ValueError` where a field would break out of its line."""
+    """A start line and header fields as bytes; `ValueError` if one contains a line break or NUL."""
     lines = [start, *(f"{name}: {value}" for name, value in fields.items())]
     text = "\r\n".join(lines)
     if text.count("\n") != len(lines) - 1 or text.count("\r") != len(lines) - 1 or "\0" in text:
@@ -192,25 +214,25 @@
 
 
 def request_bytes(method: str, target: str, host: str, body: bytes = b"", **fields: str) -> bytes:
-    """A whole request with a body of known length."""
-    names = {"host": host} | {name.replace("_", "-"): value for name, value in fields.items()}
+    """A complete request. `fields` are header fields, with underscores for hyphens."""
+    headers = {"host": host} | {name.replace("_", "-"): value for name, value in fields.items()}
     if body or method in ("POST", "PUT"):
-        names["content-length"] = str(len(body))
-    return head_bytes(f"{method} {target} HTTP/1.1", names) + body
+        headers["content-length"] = str(len(body))
+    return head_bytes(f"{method} {target} HTTP/1.1", headers) + body
 
 
-def response_head(status: int, fields: dict[str, str], length: int | None, keep: bool) -> bytes:
-    """The head of a response; `length` None stands for chunks."""
-    names = dict(fields)
+def response_head_bytes(status: int, fields: dict[str, str], length: int | None, keep_alive: bool) -> bytes:
+    """The head of a response; with `length` None the body is sent in chunks."""
+    headers = dict(fields)
     if length is None:
-        names["transfer-encoding"] = "chunked"
+        headers["transfer-encoding"] = "chunked"
     elif status not in (204, 304):
-        names["content-length"] = str(length)
-    if not keep:
-        names["connection"] = "close"
-    return head_bytes(f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}", names)
+        headers["content-length"] = str(length)
+    if not keep_alive:
+        headers["connection"] = "close"
+    return head_bytes(f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}", headers)
 
 
-def chunk(data: bytes) -> bytes:
-    """One chunk (RFC 9112 section 7.1); of no bytes: the last one."""
+def chunk_bytes(data: bytes) -> bytes:
+    """One chunk (RFC 9112 section 7.1); without data it is the last one."""
     return b"%x\r\n%s\r\n" % (len(data), data)
--- a/curlewhall/wire/server.py
+++ b/curlewhall/wire/server.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from itertools import chain
 
-from .http import HttpMessageError, Limits, Message, Requests, chunk, response_head
+from .http import HttpMessageError, Limits, Message, RequestParser, chunk_bytes, response_head_bytes
 from .timers import Timers
 from .transport import closed_by_peer, has_input
 
@@ -46,20 +46,20 @@
 class Exchange:
     """A request and the answer owed to it."""
 
-    __slots__ = ("line", "request", "pieces", "begun", "ended", "chunked", "gone", "keep")
+    __slots__ = ("line", "request", "pieces", "begun", "ended", "chunked", "gone", "keep_alive")
 
     def __init__(self, line: "Connection", request: Message) -> None:
         self.line, self.request, self.pieces = line, request, deque()
         self.begun = self.ended = self.chunked = False
         self.gone: Callable[[], None] | None = None
-        self.keep = request.keep
+        self.keep_alive = request.keep_alive
 
     def reply(self, status: int, fields: dict[str, str] | None = None, body: bytes = b"") -> None:
         """The whole answer. A second one is an error of the caller's: `RuntimeError`."""
         if self.begun:
             raise RuntimeError("a request is answered once")
         self.begun = self.ended = True
-        head = response_head(status, fields or {}, len(body), self.keep)
+        head = response_head_bytes(status, fields or {}, len(body), self.keep_alive)
         self.pieces.append(head if self.request.method == "HEAD" else head + body)
         self.line.ready()
 
@@ -68,20 +68,20 @@
         if self.begun:
             raise RuntimeError("a request is answered once")
         self.begun, self.chunked = True, length is None
-        self.pieces.append(response_head(status, fields, length, self.keep))
+        self.pieces.append(response_head_bytes(status, fields, length, self.keep_alive))
         self.line.ready()
 
     def write(self, data: bytes) -> None:
         """A piece of the body. A reader too slow for what waits already loses its connection."""
         if data and not self.ended:
-            self.pieces.append(chunk(data) if self.chunked else data)
+            self.pieces.append(chunk_bytes(data) if self.chunked else data)
             self.line.ready()
 
     def finish(self) -> None:
         if not self.ended:
             self.ended = True
             if self.chunked:
-                self.pieces.append(chunk(b""))
+                self.pieces.append(chunk_bytes(b""))
             self.line.ready()
 
     @property
@@ -141,7 +141,7 @@
 
     async def read(self) -> None:
         loop, limits = self.server.loop, self.server.limits
-        parser, buffer = Requests(limits), bytearray(READ)
+        parser, buffer = RequestParser(limits), bytearray(READ)
         view = memoryview(buffer)
         self.watch(limits.idle, "idle")
         busy = False
@@ -202,7 +202,7 @@
     def take(self, request: Message) -> None:
         if self.last:
             return
-        self.last = not request.keep
+        self.last = not request.keep_alive
         exchange = Exchange(self, request)
         self.exchanges.append(exchange)
         self.server.handle(exchange)
@@ -212,7 +212,7 @@
         if not self.closed and not self.last:
             self.last = True
             message = Message()
-            message.keep = False
+            message.keep_alive = False
             exchange = Exchange(self, message)
             self.exchanges.append(exchange)
             exchange.reply(err.status, {"content-type": "text/plain; charset=utf-8"}, f"{err.why}\n".encode())
@@ -243,7 +243,7 @@
                     self.exchanges.popleft()
                     self.room.set()
                     self.rest()
-                    if not head.keep:
+                    if not head.keep_alive:
                         self.close()
                 else:
                     break
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -46,7 +46,7 @@
 
     def __init__(self, sock):
         self.sock, self.loop = sock, asyncio.get_running_loop()
-        self.reader = http.Responses(http.Limits())
+        self.reader = http.ResponseParser(http.Limits())
 
     @classmethod
     async def open(cls, port, address="127.0.0.1"):
--- a/tests/wire/test_http.py
+++ b/tests/wire/test_http.py
@@ -10,7 +10,7 @@
 
 
 def fed(raw, step=None, limits=LIMITS):
-    reader = http.Requests(limits)
+    reader = http.RequestParser(limits)
     for i in range(0, len(raw), step or len(raw)):
         reader.feed(raw[i : i + (step or len(raw))])
     return list(reader.messages)
@@ -60,7 +60,7 @@
         b"POST /c HTTP/1.1\r\n" + HOST + b"Content-Length: 2\r\nConnection: close\r\n\r\nok"
     )
     found = fed(raw, step)
-    assert [(m.method, m.target, m.body, m.keep) for m in found] == [
+    assert [(m.method, m.target, m.body, m.keep_alive) for m in found] == [
         ("GET", "/a", b"", True),
         ("POST", "/b", b"hi!", True),
         ("POST", "/c", b"ok", False),
@@ -76,6 +76,8 @@
 
 def test_a_body_is_heard_piece_by_piece_where_asked_for():
     heard = []
-    reader = http.Responses(LIMITS, lambda message, piece: heard.append((message.status, piece)))
-    reader.feed(http.response_head(200, {}, None, True) + http.chunk(b"one") + http.chunk(b"x" * 90))
+    reader = http.ResponseParser(LIMITS, lambda message, piece: heard.append((message.status, piece)))
+    reader.feed(
+        http.response_head_bytes(200, {}, None, True) + http.chunk_bytes(b"one") + http.chunk_bytes(b"x" * 90)
+    )
     assert heard == [(200, b"one"), (200, b"x" * 90)] and not reader.messages
