--- a/bench/rig.py
+++ b/bench/rig.py
@@ -98,7 +98,7 @@
         )
 
     def answered(reply, due: float) -> None:
-        status = reply.message.status if reply.ending == "ok" else reply.ending
+        status = reply.message.status if reply.outcome == "ok" else reply.outcome
         ends[str(status)] = ends.get(str(status), 0) + 1
         histogram.record_value(max(1, int((time.monotonic() - due) * 1e6)))
 
@@ -118,7 +118,7 @@
                 await asyncio.sleep(wait)
             late[0] = max(late[0], time.monotonic() - due)
             pool, data = request(i)
-            pool.ask(data, 10.0, lambda reply, due=due: end(reply, due))
+            pool.request(data, 10.0, lambda reply, due=due: end(reply, due))
         await done.wait()
     else:
 
--- a/curlewhall/front/listing.py
+++ b/curlewhall/front/listing.py
@@ -265,11 +265,11 @@
         target = (
             f"/v1/list?front={self.front}&have={self.version}&life={quote(self.subscription.epoch, safe='')}"
         )
-        self.stream = self.pool.ask(
+        self.stream = self.pool.request(
             request_bytes("GET", target, self.pool.host),
             STREAM_TIMEOUT_S,
             self.stream_ended,
-            tell=self.stream_data_received,
+            on_body=self.stream_data_received,
         )
         self.restart_silence_timer()
 
@@ -482,7 +482,7 @@
             self.service_failing = True
             self.driver.update_nodes("failed", [])
             self.driver.log.warning(
-                "the list service can't be reached; keeping the present list", how=reply.ending
+                "the list service can't be reached; keeping the present list", how=reply.outcome
             )
         self.first_result_known = True
         self.check_ready()
--- a/curlewhall/front/lists.py
+++ b/curlewhall/front/lists.py
@@ -117,7 +117,9 @@
         have = follower.subscription.latest_version if follower.rows else 0
         target = f"/v1/list?have={have}&life={quote(follower.subscription.epoch, safe='')}"
         data = request_bytes("GET", target, pool.host, authorization=f"Bearer {token}")
-        self.request = pool.ask(data, REQUEST_TIMEOUT_S, lambda reply: self.response_received(peer, reply))
+        self.request = pool.request(
+            data, REQUEST_TIMEOUT_S, lambda reply: self.response_received(peer, reply)
+        )
 
     def schedule_next(self, peer: int | None, accepted: bool, retry_after: float | None = None) -> None:
         """Schedule the next request after the result of `peer` (None: no peer could be asked)."""
@@ -128,7 +130,7 @@
     def response_received(self, peer: int, reply: Reply) -> None:
         """Pass a peer's list to the follower, if it still needs one."""
         self.request = None
-        if reply.ending != "ok" or reply.message.status != 200:
+        if reply.outcome != "ok" or reply.message.status != 200:
             self.schedule_next(peer, False, retry_after_s(reply))
             return
         try:
--- a/curlewhall/front/nodes.py
+++ b/curlewhall/front/nodes.py
@@ -12,7 +12,7 @@
 from curlewhall.interface import NodeRow
 from curlewhall.start import StreamSchedule
 from curlewhall.wire import forms
-from curlewhall.wire.client import Ask, Pool, Reply
+from curlewhall.wire.client import PendingRequest, Pool, Reply
 from curlewhall.wire.http import request_bytes
 
 from .driver import ActivePlay, Driver
@@ -30,7 +30,7 @@
     def __init__(self, row: forms.Row, pool: Pool) -> None:
         self.row = row
         self.pool = pool
-        self.stream: Ask | None = None
+        self.stream: PendingRequest | None = None
         self.line_parser = forms.LineSplitter()
         self.hello_received = False
         self.retry_timer = None  # runs until its stream is requested again
@@ -96,7 +96,7 @@
             restarted = row.started_ms > node.row.started_ms
             if restarted or row.state == "gone":
                 # Idle connections to the previous process are dead, or lead to another one at the address.
-                node.pool.drop_idle()
+                node.pool.close_idle()
             node.row = row
             if row.state == "gone":
                 self.open_stream(node)
@@ -106,7 +106,7 @@
             listed_names = {row.node for row in rows}
             for node in [n for n in self.nodes.values() if n.row.node not in listed_names]:
                 node.row = forms.msgspec.structs.replace(node.row, state="gone")
-                node.pool.drop_idle()
+                node.pool.close_idle()
 
     def remove(self, node: Node) -> None:
         """Forget a node: close its connections and end its plays."""
@@ -122,7 +122,7 @@
 
     # ---- requests to a node
 
-    def set_up(self, active_play: ActivePlay, number: int, name: str, span: float) -> Ask | None:
+    def set_up(self, active_play: ActivePlay, number: int, name: str, span: float) -> PendingRequest | None:
         """Ask a node to set a play up within `span` seconds.
 
         None if the node is not listed or the play is answered already.
@@ -149,16 +149,16 @@
                 and not active_play.closed
             )
 
-        return node.pool.ask(
+        return node.pool.request(
             data,
             max(0.0, span),
             lambda reply: self.set_up_done(active_play, number, name, reply),
-            may=may_send,
+            still_wanted=may_send,
         )
 
     def set_up_done(self, active_play: ActivePlay, number: int, name: str, reply: Reply) -> None:
         """Report the outcome of a set-up request to the driver."""
-        how, report = reply.ending, {}
+        how, report = reply.outcome, {}
         if how == "unreached":
             self.driver.sites.node_contact(name, contact_failure(reply))
         if how == "ok":
@@ -176,7 +176,7 @@
                     how = "error"
             except forms.DecodeError:
                 how = "error"
-        self.driver.allocation_ended(active_play, number, name, how, reply.took, report)
+        self.driver.allocation_ended(active_play, number, name, how, reply.elapsed_s, report)
 
     def set_rung(self, name: str, play: str, number: int, rung: int) -> None:
         """Change the rung of a play at its node, without waiting for the response."""
@@ -194,8 +194,8 @@
             self.loop.call_soon(done, 0)
             return
         data = request_bytes("DELETE", f"/v1/plays/{play}?number={number}&why=moved", node.pool.host)
-        node.pool.ask(
-            data, ONE_WAY_TIMEOUT_S, lambda reply: done(reply.message.status if reply.ending == "ok" else 0)
+        node.pool.request(
+            data, ONE_WAY_TIMEOUT_S, lambda reply: done(reply.message.status if reply.outcome == "ok" else 0)
         )
 
     def send_one_way(self, name: str, method: str, target: str, body: bytes) -> None:
@@ -203,7 +203,7 @@
         node = self.nodes.get(name)
         if node is not None:
             data = request_bytes(method, target, node.pool.host, body, content_type="application/json")
-            node.pool.ask(data, ONE_WAY_TIMEOUT_S, lambda reply: None)
+            node.pool.request(data, ONE_WAY_TIMEOUT_S, lambda reply: None)
 
     def probe(self, name: str) -> None:
         """Ask a node for its load; the module is told the result, also if the node is not listed."""
@@ -215,18 +215,18 @@
 
     def ask_load(self, node: Node, span: float, done: Callable[[Reply], None]) -> None:
         """Send `GET /v1/load` with a timeout of `span` seconds."""
-        node.pool.ask(request_bytes("GET", "/v1/load", node.pool.host), span, done)
+        node.pool.request(request_bytes("GET", "/v1/load", node.pool.host), span, done)
 
     def probe_done(self, name: str, reply: Reply) -> None:
         """Report the outcome of a probe to the module."""
         how, report = self.parse_load(name, reply)
-        self.driver.dispatch("probed", name, how, int(reply.took * 10_000), report)
+        self.driver.dispatch("probed", name, how, int(reply.elapsed_s * 10_000), report)
 
     @staticmethod
     def parse_load(name: str, reply: Reply) -> tuple[str, dict]:
         """Return the outcome of a load request to node `name`, and its report."""
-        if reply.ending != "ok":
-            return reply.ending, {}
+        if reply.outcome != "ok":
+            return reply.outcome, {}
         try:
             load = forms.decode(forms.Load, reply.message.body)
         except forms.DecodeError:
@@ -271,11 +271,11 @@
         else:
             node.line_parser, node.stream_requested_at = forms.LineSplitter(), self.driver.clock.now()
             data = request_bytes("GET", f"/v1/events?front={self.front}", node.pool.host)
-            node.stream = node.pool.ask(
+            node.stream = node.pool.request(
                 data,
                 STREAM_TIMEOUT_S,
                 lambda reply: self.stream_ended(node, reply),
-                tell=lambda message, piece: self.stream_data_received(node, message, piece),
+                on_body=lambda message, piece: self.stream_data_received(node, message, piece),
             )
 
     def stream_data_received(self, node: Node, message, piece: bytes) -> None:
@@ -299,7 +299,7 @@
         if node.pool.closed or self.leaving:
             return
         node.last_seen_at = self.driver.clock.now()
-        if reply.ending in ("unreached", "broken"):
+        if reply.outcome in ("unreached", "broken"):
             self.driver.sites.node_contact(node.row.node, contact_failure(reply))
         if contact_failure(reply) == "refused":
             # A refused connection shows that the process is gone and its plays with it. On a timeout the node
@@ -424,9 +424,9 @@
 
 def contact_failure(reply: Reply) -> str:
     """Classify a failed exchange as evidence about its node: `refused`, `silent` or `reset`."""
-    if reply.ending == "unreached":
+    if reply.outcome == "unreached":
         return "refused" if reply.why == "refused" else "silent"
-    return "silent" if reply.ending == "late" else "reset"
+    return "silent" if reply.outcome == "late" else "reset"
 
 
 def module_row(row: forms.Row, driver: Driver) -> NodeRow:
--- a/curlewhall/front/parting.py
+++ b/curlewhall/front/parting.py
@@ -68,12 +68,12 @@
                 request_bytes("POST", "/v1/offer", pool.host, body, authorization=f"Bearer {token}"),
                 OFFER_TIMEOUT_S,
             )
-            if reply.ending == "ok" and reply.message.status == 204:
+            if reply.outcome == "ok" and reply.message.status == 204:
                 self.transferred += 1
                 self.driver.plays.pop(info.play, None)
                 self.driver.play_store.play_ended(info.play)
                 return
-            if reply.ending not in ("ok", "unreached", "not_sent"):
+            if reply.outcome not in ("ok", "unreached", "not_sent"):
                 return  # this peer may have accepted it: a second one could end up holding it too
 
 
@@ -146,7 +146,7 @@
         )
         node = driver.nodes.nodes[offer.node]
         data = request_bytes("PUT", f"/v1/plays/{info.play}/front", node.pool.host, body)
-        node.pool.ask(
+        node.pool.request(
             data, OFFER_TIMEOUT_S / 2, lambda reply: self.node_responded(exchange, offer, active_play, reply)
         )
 
@@ -154,14 +154,14 @@
         """Adopt the play if its node has changed the front, and answer the offer accordingly."""
         driver, play = self.driver, offer.facts.play
         driver.plays_at_predecessor.pop(play, None)
-        if reply.ending == "ok" and reply.message.status == 204:
+        if reply.outcome == "ok" and reply.message.status == 204:
             driver.adopt_play(active_play, offer.node)
             driver.log.info("play taken over from a peer", play=play, node=offer.node, front=offer.front)
             exchange.reply(204)
             return
         driver.dispatch("ended", play, 0, offer.node, "withdrawn", True, 0, {})
         node = driver.nodes.nodes.get(offer.node)
-        if reply.ending not in ("ok", "unreached", "not_sent") and node is not None and node.stream:
+        if reply.outcome not in ("ok", "unreached", "not_sent") and node is not None and node.stream:
             # The node may have made the change: its next hello shows, and lets the play be resumed.
             node.hello_received = False
             node.stream.withdraw()
--- a/curlewhall/relay/channel.py
+++ b/curlewhall/relay/channel.py
@@ -195,8 +195,8 @@
             "GET", "/cmd/next", self.pool.host, last_event_id=str(self.cursor), accept="text/event-stream"
         )
         pool = self.pool
-        self.stream = pool.ask(
-            data, MAX_STREAM_S, lambda reply: self.stream_ended(pool, reply), tell=self.data_received
+        self.stream = pool.request(
+            data, MAX_STREAM_S, lambda reply: self.stream_ended(pool, reply), on_body=self.data_received
         )
         self.restart_silence_timer()
 
@@ -273,7 +273,7 @@
         if self.attempts >= MAX_FAILED_ATTEMPTS and not self.failing:
             self.failing = True
             self.driver.update_nodes("failed", [])
-            self.log.warning("channel can't be reached", how=reply.ending)
+            self.log.warning("channel can't be reached", how=reply.outcome)
         self.attempts += 1
         streamed_s = time.monotonic() - self.first_data_at if self.first_data_at else 0.0
         self.reconnect_timer = self.timers.after(self.backoff.stream_ended(streamed_s), self.subscribe)
--- a/curlewhall/standins/crowd.py
+++ b/curlewhall/standins/crowd.py
@@ -173,7 +173,7 @@
         }
         self.records.write("viewer", "ask", **facts)
         reply = await self.waiting(pool, target, ask, name, patience, limit)
-        if reply.ending == "ok":
+        if reply.outcome == "ok":
             status, play, plan = reply.message.status, reply.message.headers.get("curlewhall-play", ""), None
             if status == 200:
                 try:
@@ -194,13 +194,13 @@
                 status=status,
                 play=play,
                 product=product["name"],
-                took=int(reply.took * 10_000),
+                took=int(reply.elapsed_s * 10_000),
                 away=who.get("told") if status != 200 else None,
             )
             return self.unless_over(plan, play)
-        what = "hung_up" if patience and reply.ending == "late" else "no_answer"
+        what = "hung_up" if patience and reply.outcome == "late" else "no_answer"
         self.records.write(
-            "viewer", what, ask=ask, front=name, how=reply.ending, took=int(reply.took * 10_000)
+            "viewer", what, ask=ask, front=name, how=reply.outcome, took=int(reply.elapsed_s * 10_000)
         )
         return self.unless_over(None, "")
 
@@ -246,7 +246,7 @@
                 asked = self.loop.time()
                 reply = await pool.fetch(request_bytes("GET", target, pool.host), buffer + 5.0)
                 took = self.loop.time() - asked
-                if reply.ending == "ok" and reply.message.status == 410 and plan.location:
+                if reply.outcome == "ok" and reply.message.status == 410 and plan.location:
                     # the play has gone from this node: the manifest is asked for anew, and goes on elsewhere
                     location = reply.message.headers.get("location", plan.location)
                     follows, was = await self.follow(who, number, moves, location), play
@@ -269,8 +269,8 @@
                     plan, play = follows
                     pool, path = self.pool(plan.base), "/" + plan.base.split("/", 3)[3]
                     continue
-                if reply.ending != "ok" or reply.message.status != 200:
-                    why = reply.ending if reply.ending != "ok" else f"status {reply.message.status}"
+                if reply.outcome != "ok" or reply.message.status != 200:
+                    why = reply.outcome if reply.outcome != "ok" else f"status {reply.message.status}"
                     stalled += max(0.0, took - buffer) if segment > plan.first else 0.0
                     break
                 head = reply.message.body[:16]
--- a/tests/daemon/test_handover.py
+++ b/tests/daemon/test_handover.py
@@ -56,7 +56,7 @@
 
     async def end(self):
         """The old one leaves once its last connection has; its sockets are closed."""
-        self.place.pool.drop_idle()
+        self.place.pool.close_idle()
         await until(lambda: self.gone)
         self.old.close()
         self.leaving.channel.close()
--- a/tests/front/deployment.py
+++ b/tests/front/deployment.py
@@ -61,7 +61,7 @@
     async def ask(self, **args):
         """Request a play; return the response and its manifest, or its problem document."""
         reply = await self.pool.fetch(self.request(**args), 20)
-        assert reply.ending == "ok", reply
+        assert reply.outcome == "ok", reply
         body = reply.message.body
         return reply.message, manifest.read(body) if reply.message.status == 200 else json.loads(body)
 
--- a/tests/front/test_front.py
+++ b/tests/front/test_front.py
@@ -176,7 +176,7 @@
 @looped
 async def test_node_that_drains_while_connecting_gets_no_set_up(tmp_path, monkeypatch):
     async with deployment(tmp_path, TwoDrawn, nodes=2) as env:
-        front, take, gate, waiting = env.fronts[0], Pool.take, asyncio.Event(), []
+        front, take, gate, waiting = env.fronts[0], Pool.acquire, asyncio.Event(), []
 
         async def delayed_take(self):
             waiting.append(self)
@@ -184,7 +184,7 @@
             return await take(self)
 
         for node in front.nodes.nodes.values():
-            monkeypatch.setattr(node.pool, "take", delayed_take.__get__(node.pool))
+            monkeypatch.setattr(node.pool, "acquire", delayed_take.__get__(node.pool))
         asking = asyncio.ensure_future(env.ask(product="paid"))
         await until(lambda: waiting)
         (first,) = [name for name, node in front.nodes.nodes.items() if node.pool is waiting[0]]
--- a/tests/front/test_front_crossings.py
+++ b/tests/front/test_front_crossings.py
@@ -80,7 +80,7 @@
 ):
     """The client's end of its connection is not read yet when the connection to the node is established."""
     async with deployment(tmp_path, TwoDrawn, nodes=1) as env:
-        front, take, gate, waiting = env.fronts[0], Pool.take, asyncio.Event(), []
+        front, take, gate, waiting = env.fronts[0], Pool.acquire, asyncio.Event(), []
         (node,) = front.nodes.nodes.values()
 
         async def delayed_take(self):
@@ -88,7 +88,7 @@
             await gate.wait()
             return await take(self)
 
-        monkeypatch.setattr(node.pool, "take", delayed_take.__get__(node.pool))
+        monkeypatch.setattr(node.pool, "acquire", delayed_take.__get__(node.pool))
         where = env.plan["fronts"][0]
         client = socket.create_connection((where["address"], where["port"]))
         client.sendall(env.request(product="paid"))
--- a/tests/front/test_front_process.py
+++ b/tests/front/test_front_process.py
@@ -56,7 +56,7 @@
             facts = urlencode({"product": "plain", "viewer": "v", "limit_ms": 3000})
             reply = await pool.fetch(request_bytes("GET", f"/play/clip-00?{facts}", pool.host), 20)
             pool.close()
-            assert reply.ending == "ok" and reply.message.status == 200, reply
+            assert reply.outcome == "ok" and reply.message.status == 200, reply
         return {row["at"] for row in env.rows("setup")[before:]}
 
     try:
--- a/tests/front/test_moves.py
+++ b/tests/front/test_moves.py
@@ -96,7 +96,7 @@
         front.driver.moves.buffer_reported(active_play.info.play, 30.0)
         env.fault("drain", nodes=[active_play.node])
         await until(lambda: front.driver.moves.retrying)
-        ask = env.pool.ask(
+        ask = env.pool.request(
             request_bytes("GET", "/" + plan.location.split("/", 3)[3], env.pool.host),
             20,
             lambda reply: None,
--- a/tests/standins/test_links.py
+++ b/tests/standins/test_links.py
@@ -104,12 +104,12 @@
         rig = Rig(tmp_path)
         rig.links.fault(*way, "cut", 1)
         reply = await rig.ask()
-        assert reply.ending == "unreached" and reply.took >= 0.29  # dropped, not refused
+        assert reply.outcome == "unreached" and reply.elapsed_s >= 0.29  # dropped, not refused
         rig.links.fault(*way, "cut", 0)
-        assert (await rig.ask()).ending == "ok"
-        rig.pool.drop_idle()
+        assert (await rig.ask()).outcome == "ok"
+        rig.pool.close_idle()
         rig.links.fault(*way, "stall", 1)
-        assert (await rig.ask(0.3)).ending == "late"
+        assert (await rig.ask(0.3)).outcome == "late"
         rig.close()
 
     run()
@@ -120,12 +120,12 @@
     rig = Rig(tmp_path)
     rig.links.up("n0", False)
     reply = await rig.ask()
-    assert reply.ending == "unreached" and reply.took < 0.25
+    assert reply.outcome == "unreached" and reply.elapsed_s < 0.25
     rig.links.fault(*TO, "cut", 1)  # of a cut link nobody can tell
-    assert (await rig.ask()).took >= 0.29
+    assert (await rig.ask()).elapsed_s >= 0.29
     rig.links.up("n0", True)
     rig.links.fault(*TO, "cut", 0)
-    assert (await rig.ask()).ending == "ok"
+    assert (await rig.ask()).outcome == "ok"
     rig.close()
 
 
@@ -138,10 +138,10 @@
         rig.links.fault(*way, "reset", after)
         reply = await rig.ask()
         if after:
-            assert reply.ending == "broken" and len(rig.came) == 1 + came
+            assert reply.outcome == "broken" and len(rig.came) == 1 + came
         else:  # it was idle: the pool sees that it is dead, and opens another
-            assert reply.ending == "ok" and rig.pool.opened == 2
-        assert (await rig.ask()).ending == "ok"
+            assert reply.outcome == "ok" and rig.pool.opened == 2
+        assert (await rig.ask()).outcome == "ok"
         rig.close()
 
     run()
@@ -172,7 +172,7 @@
     asked = asyncio.ensure_future(rig.ask(0.2, body, "/v1/plays"))
     await until(lambda: len(rig.came) == 2)
     rig.links.fault(*TO, "cut", 1)
-    assert (await asked).ending == "late"
+    assert (await asked).outcome == "late"
     await until(lambda: rig.rows("let_go"))
     assert not rig.gone  # the node has not heard of it
     assert [(row["at"], row["play"], row["number"]) for row in rig.rows("let_go")] == [("node:n0", "p1", 0)]
--- a/tests/wire/test_wire.py
+++ b/tests/wire/test_wire.py
@@ -119,7 +119,7 @@
         rig.timers.after(0.04, passed.set)
         await passed.wait()
     exchange.reply(200)
-    assert (await reply).ending == "ok"
+    assert (await reply).outcome == "ok"
 
 
 @looped
@@ -153,7 +153,7 @@
 async def test_what_came_after_the_first_byte_is_never_taken_for_proof(said, ending):
     rig = Rig()
     async with raw_server(said) as port:
-        assert (await rig.pool(port).fetch(GET % 1, 5)).ending == ending
+        assert (await rig.pool(port).fetch(GET % 1, 5)).outcome == ending
 
 
 @looped
@@ -162,7 +162,7 @@
     sock.bind(("127.0.0.1", 0))  # bound and not listening: refused, and nobody else gets the port
     reply = await Rig().pool(sock.getsockname()[1]).fetch(GET % 1, 5)
     sock.close()
-    assert reply.ending == "unreached"
+    assert reply.outcome == "unreached"
 
 
 @looped
@@ -171,7 +171,7 @@
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(5):
         reply = await Pool(loop, Timers(loop), address, port).fetch(b"x", 20)
-    assert reply.ending == "unreached"
+    assert reply.outcome == "unreached"
 
 
 @pytest.mark.parametrize("turns", [-1, 1])
@@ -180,7 +180,7 @@
     """Taken modulo 65536 it would be the port of somebody who listens."""
     rig = Rig()
     reply = await rig.pool(rig.port + turns * 65536).fetch(GET % 1, 5)
-    assert reply.ending == "unreached" and rig.asked.empty() and not rig.server.connections
+    assert reply.outcome == "unreached" and rig.asked.empty() and not rig.server.connections
 
 
 @looped
@@ -188,15 +188,15 @@
     rig = Rig()
     pool, done = rig.pool(), []
     reply = await pool.fetch(GET % 1, 0.05)
-    assert reply.ending == "late" and (await rig.gone.get()).request.target == "/1"
-    pool.ask(GET % 2, 5, done.append).withdraw()
-    assert done[0].ending == "not_sent"
-    ask = pool.ask(GET % 3, 5, done.append)
+    assert reply.outcome == "late" and (await rig.gone.get()).request.target == "/1"
+    pool.request(GET % 2, 5, done.append).withdraw()
+    assert done[0].outcome == "not_sent"
+    ask = pool.request(GET % 3, 5, done.append)
     while (await rig.asked.get()).request.target != "/3":
         pass
     ask.withdraw()
     ask.withdraw()
-    assert [reply.ending for reply in done] == ["not_sent", "withdrawn"]
+    assert [reply.outcome for reply in done] == ["not_sent", "withdrawn"]
     assert (await rig.gone.get()).request.target == "/3"
 
 
@@ -204,8 +204,8 @@
 async def test_a_no_in_the_last_moment_sends_nothing():
     rig = Rig()
     reply = asyncio.get_running_loop().create_future()
-    rig.pool().ask(GET % 1, 5, reply.set_result, may=lambda: False)
-    assert (await reply).ending == "not_sent" and rig.asked.empty()
+    rig.pool().request(GET % 1, 5, reply.set_result, still_wanted=lambda: False)
+    assert (await reply).outcome == "not_sent" and rig.asked.empty()
 
 
 @looped
@@ -215,7 +215,7 @@
     for expected in (1, 1):  # the second is served over the first one's connection
         reply = asyncio.ensure_future(pool.fetch(GET % 1, 5))
         (await rig.asked.get()).reply(200)
-        assert (await reply).ending == "ok" and pool.opened == expected
+        assert (await reply).outcome == "ok" and pool.opened == expected
     for line in list(rig.server.connections):
         line.close()
     await asyncio.sleep(0)
@@ -223,7 +223,7 @@
         await asyncio.sleep(0)
     reply = asyncio.ensure_future(pool.fetch(GET % 2, 5))
     (await rig.asked.get()).reply(200)
-    assert (await reply).ending == "ok" and pool.opened == 2
+    assert (await reply).outcome == "ok" and pool.opened == 2
 
 
 @looped
@@ -237,7 +237,7 @@
     exchange = await rig.asked.get()
     assert pool.opened == 1
     exchange.line.abort()
-    assert (await reply).ending == "broken"
+    assert (await reply).outcome == "broken"
 
 
 @looped
@@ -275,7 +275,7 @@
     with monkeypatch.context() as short:
         short.setattr(socket, "socket", none)
         reply = await rig.pool().fetch(GET % 1, 5)
-    assert reply.ending == "unreached" and "Too many" in reply.why
+    assert reply.outcome == "unreached" and "Too many" in reply.why
 
 
 @pytest.mark.parametrize("how", ["close", "half-close", "reset"])
