--- a/curlewhall/console/run.py
+++ b/curlewhall/console/run.py
@@ -212,7 +212,7 @@
         if not self.token:
             self.render_error(exchange, 403, "This console only shows: no token_file is set")
         elif not hmac.compare_digest(token.strip().encode(), self.token):
-            self.front.log.warning("console request rejected: wrong token", peer=exchange.line.peer[0])
+            self.front.log.warning("console request rejected: wrong token", peer=exchange.connection.peer[0])
             self.render_error(exchange, 403, "The token is missing or wrong; nothing was changed")
         elif fields.get("node", "") not in self.front.nodes.nodes:
             self.render_error(exchange, 404, f"Node {fields.get('node', '')[:100]!r} is not in the list")
@@ -229,7 +229,7 @@
 
         A client that stops reading is disconnected; other clients are not delayed.
         """
-        exchange.gone = lambda: self.streams.discard(exchange)
+        exchange.on_disconnect = lambda: self.streams.discard(exchange)
         exchange.start(200, SECURITY_HEADERS | {"content-type": "text/event-stream"})
         exchange.write(b"retry: 500\n\n" + self.event())
         self.streams.add(exchange)
--- a/curlewhall/daemon/handover.py
+++ b/curlewhall/daemon/handover.py
@@ -130,7 +130,7 @@
 
     def give(self) -> None:
         front, driver = self.front, self.driver
-        front.server.pause()
+        front.server.pause_accepting()
         front.nodes.leaving = True
         front.follower.pause_following()
         front.close_peers()
@@ -228,7 +228,7 @@
                 p for p, active_play in self.driver.plays.items() if active_play.playing_number is not None
             ]:
                 del self.driver.plays[play]  # the successor's now
-            self.front.server.heir = self.line
+            self.front.server.successor = self.line
             self.front.log.info(
                 "handed over", left=len(self.driver.plays), connections=len(self.front.server.connections)
             )
@@ -280,7 +280,7 @@
         if self.served:
             # the successor is gone after it served: what is owed here is still answered, lines are closed
             self.front.log.warning("the successor is gone")
-            self.front.server.heir = lambda sock, data: self.front.loop.call_soon(sock.close)
+            self.front.server.successor = lambda sock, data: self.front.loop.call_soon(sock.close)
             return
         self.over = True
         self.driver.successor = None
@@ -291,7 +291,7 @@
         for node in self.front.nodes.nodes.values():
             self.front.nodes.open_stream(node)
         self.front.open_peers()
-        self.front.server.accept()
+        self.front.server.start_accepting()
         self.back()
 
 
@@ -476,7 +476,7 @@
         viewers = self.front.viewers
         active_play.exchange = waiting.exchange if waiting is not None else None
         if active_play.exchange is not None:
-            active_play.exchange.gone = None
+            active_play.exchange.on_disconnect = None
         viewers.play(active_play, active_play.playing_number + active_play.number_offset)
         if active_play.stored_answer is not None and ply.moved_from:
             viewers.continuations[ply.moved_from] = active_play
@@ -506,4 +506,4 @@
         play_store.store.add(entry, then)
 
     def heard_line(self, data: bytes, number: int) -> None:
-        self.front.server.adopt_number(number, data)
+        self.front.server.adopt_descriptor(number, data)
--- a/curlewhall/daemon/worker.py
+++ b/curlewhall/daemon/worker.py
@@ -132,7 +132,7 @@
                 self.log.warning("the inventory is not confirmed here", why=why)
 
     def told_line(self, data: bytes, number: int) -> None:
-        self.front.server.adopt_number(number, data, routed=True)
+        self.front.server.adopt_descriptor(number, data, routed=True)
 
     def fail(self, why: str) -> None:
         self.log.error("can't start", why=why)
--- a/curlewhall/front/driver.py
+++ b/curlewhall/front/driver.py
@@ -111,7 +111,7 @@
         active_play, driver = self.active_play, self.driver
         if active_play.pending.get(self.number) is not self:
             return
-        if active_play.exchange is not None and active_play.exchange.hung_up():
+        if active_play.exchange is not None and active_play.exchange.client_disconnected():
             driver.viewer_left(active_play)
             return
         remaining = self.deadline - driver.clock.now()
@@ -342,7 +342,7 @@
             how == "ok"
             and not active_play.answered
             and active_play.exchange is not None
-            and active_play.exchange.hung_up()
+            and active_play.exchange.client_disconnected()
         ):
             # Without its viewer the play would run on at the node unseen; closed plays are ended there below.
             self.viewer_left(active_play)
--- a/curlewhall/front/nodes.py
+++ b/curlewhall/front/nodes.py
@@ -142,7 +142,7 @@
         chosen_row = node.row.state, node.row.started_ms
 
         def may_send() -> bool:
-            viewer_present = active_play.exchange is None or not active_play.exchange.hung_up()
+            viewer_present = active_play.exchange is None or not active_play.exchange.client_disconnected()
             return (
                 viewer_present
                 and (node.row.state, node.row.started_ms) == chosen_row
--- a/curlewhall/front/serve.py
+++ b/curlewhall/front/serve.py
@@ -317,9 +317,9 @@
         if self.peers.members is not None:
             self.peers.members.leave()
         if self.server is not None:
-            self.server.shut()
+            self.server.block_new_connections()
             await asyncio.sleep(CLOSE_DELAY_S)
-            self.server.stop_when_empty()
+            self.server.accept_backlog_and_stop()
         await asyncio.sleep(CLOSE_DELAY_S)
         self.close()
 
--- a/curlewhall/front/viewers.py
+++ b/curlewhall/front/viewers.py
@@ -104,7 +104,7 @@
 
     def is_local(self, exchange: Exchange) -> bool:
         """Whether the request comes from this machine."""
-        return exchange.line.peer[0].startswith("127.") or exchange.line.peer[0] == "::1"
+        return exchange.connection.peer[0].startswith("127.") or exchange.connection.peer[0] == "::1"
 
     def confirm_inventory(self, exchange: Exchange, params: dict[str, str]) -> None:
         """Confirm a pending change of the inventory on behalf of an operator on this machine."""
@@ -198,7 +198,7 @@
         )
         # The deadline leaves the margin that an answer takes to reach the viewer within its limit.
         active_play = ActivePlay(info, title, exchange, now + max(0, limit - self.answer_margin), now)
-        exchange.gone = lambda: self.driver.viewer_left(active_play)
+        exchange.on_disconnect = lambda: self.driver.viewer_left(active_play)
         self.driver.accept_request(
             active_play, again=params.get("again", "0") == "1" or bool(moved), moved=bool(moved)
         )
@@ -246,7 +246,7 @@
             active_play.stored_answer = None
         else:
             active_play.exchange = exchange
-            exchange.gone = lambda: self.driver.viewer_left(active_play)
+            exchange.on_disconnect = lambda: self.driver.viewer_left(active_play)
         return True
 
     def next_play_info(self, info: PlayInfo) -> PlayInfo:
@@ -263,7 +263,7 @@
         """
         if before.exchange is not None:
             active_play.exchange, before.exchange = before.exchange, None
-            active_play.exchange.gone = lambda: self.driver.viewer_left(active_play)
+            active_play.exchange.on_disconnect = lambda: self.driver.viewer_left(active_play)
             return
         self.continuations[old] = active_play
         while len(self.continuations) > MAX_MOVED_PLAYS:
--- a/curlewhall/relay/nodes.py
+++ b/curlewhall/relay/nodes.py
@@ -530,7 +530,7 @@
             or active_play.closed
             or node.identity != set_up.node_identity
             or set_up.waited
-            and active_play.exchange.hung_up()
+            and active_play.exchange.client_disconnected()
         ):
             self.loop.call_soon(set_up.settle, "not_sent", {})
             return
--- a/curlewhall/relay/viewers.py
+++ b/curlewhall/relay/viewers.py
@@ -81,7 +81,7 @@
         self.active_play: ActivePlay | None = None
         self.established = False  # it was answered with success, and is not over
 
-    def hung_up(self) -> bool:
+    def client_disconnected(self) -> bool:
         """Whether its viewer has ended the connection or given up, even if that was not handled yet."""
         return self.connection is None or self.viewers.viewer_gone(self)
 
--- a/curlewhall/standins/listservice.py
+++ b/curlewhall/standins/listservice.py
@@ -59,7 +59,7 @@
         elif kind == "silent":
             waiting, self.silent = self.silent, [] if value else None
             for exchange in waiting or ():
-                exchange.line.close()
+                exchange.connection.close()
         elif kind == "life":
             self.lives += 1
             self.life, self.version, self.changes, self.past = f"life-{self.lives}", 1, [], []
@@ -123,7 +123,7 @@
         if old is not None:
             old.finish()
         self.streams[front] = exchange
-        exchange.gone = lambda: self.streams.get(front) is exchange and self.streams.pop(front)
+        exchange.on_disconnect = lambda: self.streams.get(front) is exchange and self.streams.pop(front)
         exchange.start(200, {"content-type": "application/jsonl"})
         if known and not missed:
             self.send(front, forms.Listing("changes", self.version, self.version, life=self.life))
--- a/curlewhall/standins/node.py
+++ b/curlewhall/standins/node.py
@@ -131,14 +131,14 @@
         return "another" if "stranger" in self.faults else self.name
 
     def spoil(self, exchange: Exchange) -> None:
-        exchange.begun = exchange.ended = True
+        exchange.started = exchange.finished = True
         exchange.pieces.append(
             b"\x16\x03\x01 certainly not HTTP\r\n\r\n"
             if "garbage" in self.faults
             else b"HTTP/1.1 200 OK\r\n" + b"x-more: and more\r\n" * 4000
         )
         exchange.keep_alive = False
-        exchange.line.ready()
+        exchange.connection.flush()
 
     def take(self, exchange: Exchange) -> None:
         now = self.loop.time()
@@ -173,7 +173,7 @@
         if old is not None:
             self.close(old, "replaced")
         play = self.plays[facts.play] = Play(facts, asked.front, exchange, now)
-        exchange.gone = lambda: self.close(play, "cancelled")
+        exchange.on_disconnect = lambda: self.close(play, "cancelled")
         if self.machine.took(now):
             self.die("fall")
             if self.fell is not None:
@@ -193,17 +193,17 @@
         if "freeze" in self.faults or "freeze_setups" in self.faults:
             return
         facts, exchange = play.facts, play.exchange
-        play.playing, play.exchange, exchange.gone = True, None, None
+        play.playing, play.exchange, exchange.on_disconnect = True, None, None
         self.weigh(play, facts.rung)
         self.records.write(self.at, "first", play=facts.play, number=facts.number, front=play.front)
         body = forms.encode(forms.SetUpDone(self.shown(), facts.play, facts.number, self.report()))
         if "reset" in self.faults:
-            exchange.begun = exchange.ended = True
+            exchange.started = exchange.finished = True
             exchange.pieces.append(
                 b"HTTP/1.1 201 Created\r\ncontent-length: %d\r\n\r\n" % len(body) + body[:9]
             )
-            exchange.line.ready()
-            self.timers.after(0.01, exchange.line.abort)
+            exchange.connection.flush()
+            self.timers.after(0.01, exchange.connection.abort)
         else:
             exchange.reply(201, {"content-type": "application/json"}, body)
         play.timer = self.timers.after(IDLE, self.idle, play)
@@ -353,7 +353,7 @@
             old.finish()
         self.streams[front] = exchange
         self.away.pop(front, None)
-        exchange.gone = lambda: self.parted(front, exchange)
+        exchange.on_disconnect = lambda: self.parted(front, exchange)
         exchange.start(200, {"content-type": "application/jsonl"})
         held = [play.facts for play in self.plays.values() if play.front == front and play.playing]
         exchange.write(forms.encode(forms.Event("hello", node=self.shown(), plays=held)) + b"\n")
--- a/tests/console/test_console.py
+++ b/tests/console/test_console.py
@@ -139,7 +139,7 @@
         await reader.loop.sock_connect(stuck, (where, PORT))
         await reader.loop.sock_sendall(stuck, b"GET /events HTTP/1.1\r\nhost: x\r\n\r\n")
         await until(lambda: len(console.streams) == 2)
-        slow = next(ex for ex in console.streams if ex.line.peer[1] == stuck.getsockname()[1])
+        slow = next(ex for ex in console.streams if ex.connection.peer[1] == stuck.getsockname()[1])
         event = console.event()
         while slow.open:
             slow.write(event)
--- a/tests/daemon/test_handover.py
+++ b/tests/daemon/test_handover.py
@@ -137,7 +137,7 @@
         await begun.send(state[:20])  # a request cut in two by the hand-over belongs to the old front
         await until(
             lambda: any(
-                line.limit and line.limit.facts[0] == "read" for line in place.fronts[0].server.connections
+                line.timeout and line.timeout.args[0] == "read" for line in place.fronts[0].server.connections
             )
         )
         exchange = await Exchange(place).begin().served()
--- a/tests/front/test_front_crossings.py
+++ b/tests/front/test_front_crossings.py
@@ -39,7 +39,7 @@
     def __init__(self):
         self.ended = False
 
-    def hung_up(self):
+    def client_disconnected(self):
         return self.ended
 
 
--- a/tests/standins/test_links.py
+++ b/tests/standins/test_links.py
@@ -41,7 +41,7 @@
 
     def handle(self, exchange):
         self.came.append(exchange)
-        exchange.gone = lambda: self.gone.append(exchange)
+        exchange.on_disconnect = lambda: self.gone.append(exchange)
         if self.answers:
             exchange.reply(200, {}, BODY)
 
--- a/tests/wire/test_wire.py
+++ b/tests/wire/test_wire.py
@@ -26,7 +26,7 @@
         self.server = Server(self.loop, self.timers, sock, self.handle, http.Limits()._replace(**limits))
 
     def handle(self, exchange):
-        exchange.gone = lambda: self.gone.put_nowait(exchange)
+        exchange.on_disconnect = lambda: self.gone.put_nowait(exchange)
         self.asked.put_nowait(exchange)
 
     def pool(self, port=None, **more):
@@ -70,7 +70,9 @@
     while exchange.open:
         exchange.write(b"x" * 10_000)
         await asyncio.sleep(0)
-    assert rig.server.slow == 1 and not exchange.pieces or sum(map(len, exchange.pieces)) < 300_000
+    assert (
+        rig.server.slow_client_count == 1 and not exchange.pieces or sum(map(len, exchange.pieces)) < 300_000
+    )
     assert await rig.gone.get() is exchange
 
 
@@ -129,7 +131,7 @@
     await one.send(GET % 1)
     await rig.asked.get()
     other = await RawClient.open(rig.port)
-    assert await other.closed() and rig.server.turned_away == 1
+    assert await other.closed() and rig.server.rejected_count == 1
 
 
 HEAD = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n"
@@ -236,7 +238,7 @@
     reply = asyncio.ensure_future(pool.fetch(GET % 2, 5))
     exchange = await rig.asked.get()
     assert pool.opened == 1
-    exchange.line.abort()
+    exchange.connection.abort()
     assert (await reply).outcome == "broken"
 
 
@@ -287,14 +289,15 @@
     await peer.send(b"".join(GET % i for i in range(2)))
     taken = [await rig.asked.get() for _ in range(2)]
     await peer.send(GET % 2)
-    assert not any(exchange.hung_up() for exchange in taken)
+    assert not any(exchange.client_disconnected() for exchange in taken)
     if how == "half-close":
         peer.sock.shutdown(socket.SHUT_WR)
     else:
         if how == "reset":
             peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         peer.close()
-    assert all(exchange.hung_up() for exchange in taken)  # asked of the kernel, before anything is read
+    # the kernel is asked, before anything is read
+    assert all(exchange.client_disconnected() for exchange in taken)
     assert [await rig.gone.get() for _ in range(2)] == taken and rig.asked.empty()
 
 
@@ -312,7 +315,7 @@
         await rig.asked.get()
     elif busy == "half a request":
         await first.send((GET % 0)[:20])
-        while not line.half:
+        while not line.has_partial_request:
             await asyncio.sleep(0)
     crowd = [await RawClient.open(rig.port) for _ in range(30)]
     later = await RawClient.open(rig.port)
@@ -322,7 +325,7 @@
     exchange.reply(200)
     assert (await later.message()).status == 200
     assert line.closed == (busy == "nothing")
-    assert not rig.server.turned_away
+    assert not rig.server.rejected_count
     for peer in crowd:
         peer.close()
 
@@ -331,7 +334,7 @@
     endless = server.resource.RLIM_INFINITY
     for soft, most in ((1024, 600), (64, 24), (10, 1), (endless, 10_000), (1 << 20, 10_000)):
         monkeypatch.setattr(server.resource, "getrlimit", lambda what, soft=soft: (soft, soft))
-        assert server.bearable(10_000) == most
+        assert server.viewer_connection_limit(10_000) == most
 
 
 @looped
@@ -342,7 +345,7 @@
     while len(rig.server.connections) < 2:
         await asyncio.sleep(0)
     peers[0].sock.send(GET % 0)
-    assert rig.server.make_room() and not rig.server.make_room()
+    assert rig.server.close_longest_idle() and not rig.server.close_longest_idle()
     assert (await rig.asked.get()).request.target == "/0" and await peers[1].closed()
 
 
@@ -350,13 +353,13 @@
 async def test_a_crowd_that_takes_each_others_room_holds_few_descriptors_more():
     """All wait at the door in one turn; what is closed for them gives its descriptor back in the next."""
     rig = Rig(connections=4)
-    rig.server.pause()
+    rig.server.pause_accepting()
     peers = [await RawClient.open(rig.port) for _ in range(40)]
-    while rig.server.arrivals():
-        assert len(rig.server.connections) + rig.server.closing <= 4 + server.CLOSING
+    while rig.server.accept_waiting():
+        assert len(rig.server.connections) + rig.server.closing_count <= 4 + server.MAX_CLOSING_DESCRIPTORS
         await asyncio.sleep(0)
     await asyncio.sleep(0)
-    assert len(rig.server.connections) == 4 and not rig.server.closing and not rig.server.turned_away
+    assert len(rig.server.connections) == 4 and not rig.server.closing_count and not rig.server.rejected_count
     assert all([await peer.closed() for peer in peers[:36]])
     for peer in peers:
         peer.close()
@@ -368,17 +371,17 @@
     crowd = [await RawClient.open(rig.port) for _ in range(4)]
     for peer in crowd:
         await peer.send((GET % 0)[:20])
-        while len(rig.server.begun) <= crowd.index(peer):
+        while len(rig.server.partial) <= crowd.index(peer):
             await asyncio.sleep(0)
     await crowd[0].send((GET % 0)[20:25])  # no younger for it
-    first = next(iter(rig.server.begun))
-    while first.unread():
+    first = next(iter(rig.server.partial))
+    while first.has_unread_data():
         await asyncio.sleep(0)
     later = await RawClient.open(rig.port)
     await later.send(GET % 1)
     exchange = await rig.asked.get()
     exchange.reply(200)
     assert (await later.message()).status == 200 and first.closed and await crowd[0].closed()
-    assert len(rig.server.begun) == 3
+    assert len(rig.server.partial) == 3
     for peer in crowd:
         peer.close()
