--- a/bench/start_fleet.py
+++ b/bench/start_fleet.py
@@ -88,7 +88,7 @@
 
     day = Day(SECONDS, NODES, FRONTS, seed, True, keep=str(folder))
     report = run(f"start-{scene}", make, day).report
-    rows = records.merged([folder / f"{who}.jsonl" for who in ("fleet", "crowd", "drill")])
+    rows = records.read_merged([folder / f"{who}.jsonl" for who in ("fleet", "crowd", "drill")])
     return {name: report[name] for name in SHOWN} | {
         **dict(zip(("service", "service_of_taken"), service(rows, scene), strict=True)),
         "broken": sum(report["broken"].values()),
--- a/curlewhall/drills/demo.py
+++ b/curlewhall/drills/demo.py
@@ -83,7 +83,7 @@
             console.print("The last plays end ...")
             processes.crowd.wait(plan["crowd"]["after"] + 15)
         terms = terms_of(load(Path(folder) / f"{plan['fronts'][0]['name']}.textproto"))
-        rows = records.merged(list(plan["records"].values()))
+        rows = records.read_merged(list(plan["records"].values()))
         broken, counts = judge(rows, terms), summary(rows)
     table = Table("what", "figure", title="Summary, from the records at the stand-ins' sockets")
     for name in ("plays", "served", "declined", "failed", "unanswered", "service", "stalled_share"):
--- a/curlewhall/drills/play.py
+++ b/curlewhall/drills/play.py
@@ -76,7 +76,7 @@
                 processes.crowd.wait(max(1.0, left))
             processes.check()
         terms = terms_of(load(folder / f"{plan['fronts'][0]['name']}.textproto"))
-        rows = records.merged(list(plan["records"].values()))
+        rows = records.read_merged(list(plan["records"].values()))
         broken = judge(rows, terms)
         counts = summary(rows)
         counts |= script.figures(rows) if script.figures else {}
--- a/curlewhall/records/__init__.py
+++ b/curlewhall/records/__init__.py
@@ -1,7 +1,7 @@
-"""What passed on the sockets, as lines of JSON: written by stand-ins, read by the judge of the rules.
+"""Records of what passed on sockets, as lines of JSON: written by stand-ins, read by the judge of the rules.
 
-A record has `t` (whole tenths of a millisecond of the machine's monotonic clock, one for all processes), `at`
-(who saw it, such as "node:n3") and `what`; the rest depends on `what` and is told in `docs/records.md`.
+A record has `t` (tenths of a millisecond of the machine's monotonic clock, which all processes share), `at`
+(who recorded it, such as "node:n3") and `what`; the other keys depend on `what`, see `docs/records.md`.
 """
 
 import time
@@ -18,24 +18,27 @@
 
 
 def now() -> int:
-    """Tenths of a millisecond, comparable between processes of one machine."""
+    """The time in tenths of a millisecond, comparable between the processes of a machine."""
     return time.monotonic_ns() // 100_000
 
 
 class Writer:
     """Appends records to a file, in blocks; `close` writes the rest."""
 
-    BLOCK = 256  # records: a few tens of kilobytes a write
+    BLOCK_RECORDS = 256  # a few tens of kilobytes per write
 
     def __init__(self, path: str | Path) -> None:
-        self.file, self.rows = open(path, "ab"), []  # noqa: SIM115 - closed in `close`
+        self.file = open(path, "ab")  # noqa: SIM115 - closed in `close`
+        self.rows = []
 
-    def write(self, at: str, what: str, **facts) -> None:
-        self.rows.append({"t": now(), "at": at, "what": what, **facts})
-        if len(self.rows) >= self.BLOCK:
+    def write(self, at: str, what: str, **fields) -> None:
+        """Add a record with the current time."""
+        self.rows.append({"t": now(), "at": at, "what": what, **fields})
+        if len(self.rows) >= self.BLOCK_RECORDS:
             self.flush()
 
     def flush(self) -> None:
+        """Write the records that were added since the last block."""
         if self.rows:
             self.file.write(b"".join(_encode(row) + b"\n" for row in self.rows))
             self.file.flush()
@@ -46,34 +49,41 @@
         self.file.close()
 
 
-class Pulse:
-    """Tells in the records how late its process is: what it read, it read up to so much after it came."""
+class LagRecorder:
+    """Records how late the event loop of its process runs: input may have arrived that much before it was
+    read.
+    """
 
-    EVERY, TOLD = 0.05, 200  # seconds between two looks; tenths of a millisecond under which nothing is said
+    INTERVAL_S = 0.05
+    THRESHOLD = 200  # tenths of a millisecond; a smaller lag is not recorded
 
     def __init__(self, timers, writer: Writer, at: str) -> None:
-        self.timers, self.writer, self.at = timers, writer, at
-        self.next()
+        self.timers = timers
+        self.writer = writer
+        self.at = at
+        self.schedule()
 
-    def next(self) -> None:
-        self.timers.after(self.EVERY, self.look, now() + int(self.EVERY * 10_000))
+    def schedule(self) -> None:
+        """Schedule the next check."""
+        self.timers.after(self.INTERVAL_S, self.check, now() + int(self.INTERVAL_S * 10_000))
 
-    def look(self, due: int) -> None:
-        late = now() - due
-        if late > self.TOLD:
-            self.writer.write(self.at, "lag", span=late)
-        self.next()
+    def check(self, due: int) -> None:
+        """Record the lag of a check that was due at `due`."""
+        lag = now() - due
+        if lag > self.THRESHOLD:
+            self.writer.write(self.at, "lag", span=lag)
+        self.schedule()
 
 
 class TruncatedRecordError(CurlewhallError):
-    """A line that is no record."""
+    """A line of a record file that is not a record."""
 
-    remedy = "Play the day again: a record file was cut or changed by another program."
+    remedy = "Run the drill again: a record file was truncated or changed by another program."
 
 
 def read(path: str | Path) -> Iterator[Record]:
-    """Records of a file in the order written. An unfinished last line is left out; others raise
-    `TruncatedRecordError`.
+    """The records of a file in the order of writing. An incomplete last line is skipped; any other line that
+    is not a record raises `TruncatedRecordError`.
     """
     with open(path, "rb") as file:
         for number, line in enumerate(file, 1):
@@ -88,6 +98,6 @@
             yield row
 
 
-def merged(paths: list[str | Path]) -> list[Record]:
-    """All records of several files in the order of their times."""
+def read_merged(paths: list[str | Path]) -> list[Record]:
+    """All records of several files, sorted by time."""
     return sorted((row for path in paths for row in read(path)), key=lambda row: row["t"])
--- a/curlewhall/standins/crowd.py
+++ b/curlewhall/standins/crowd.py
@@ -20,7 +20,7 @@
 import uvloop
 
 from curlewhall.dash import cmcd, cmsd, manifest
-from curlewhall.records import Pulse, Writer
+from curlewhall.records import LagRecorder, Writer
 from curlewhall.wire.client import Pool
 from curlewhall.wire.http import request_bytes
 from curlewhall.wire.timers import Timers
@@ -95,7 +95,7 @@
         }
 
     async def run(self) -> None:
-        Pulse(self.timers, self.records, "viewer")
+        LagRecorder(self.timers, self.records, "viewer")
         drawn = [(at, self.draw(special)) for at, special in arrivals(self.crowd, self.rng)]
         begin = self.loop.time()
         for at, who in drawn:
@@ -242,7 +242,7 @@
         self.watching += 1
         try:
             while seen < left:
-                target = f"{path}seg/r{rung}/{segment}?t={plan.token}&{cmcd.query(buffer)}"
+                target = f"{path}seg/r{rung}/{segment}?t={plan.token}&{cmcd.query_argument(buffer)}"
                 asked = self.loop.time()
                 reply = await pool.fetch(request_bytes("GET", target, pool.host), buffer + 5.0)
                 took = self.loop.time() - asked
--- a/curlewhall/standins/fleet.py
+++ b/curlewhall/standins/fleet.py
@@ -17,7 +17,7 @@
 import uvloop
 
 from curlewhall.dash.tokens import read_key
-from curlewhall.records import Pulse, Writer
+from curlewhall.records import LagRecorder, Writer
 from curlewhall.wire import forms
 from curlewhall.wire.server import Exchange, Server, listen
 from curlewhall.wire.timers import Timers
@@ -89,7 +89,7 @@
             self.links.open_fronts()
         where = self.plan["stranger"]
         Server(self.loop, self.timers, listen(where["address"], where["port"]), self.stray)
-        Pulse(self.timers, self.records, "fleet")
+        LagRecorder(self.timers, self.records, "fleet")
         where = self.plan["control"]
         Server(self.loop, self.timers, listen(where["address"], where["port"]), self.control)
 
--- a/tests/rules/test_floor.py
+++ b/tests/rules/test_floor.py
@@ -62,7 +62,7 @@
 
 
 def judged(plan, folder):
-    rows = records.merged([plan["records"]["crowd"]])
+    rows = records.read_merged([plan["records"]["crowd"]])
     return rows, judge(rows, terms_of(load(folder / "front.textproto"))), summary(rows)
 
 
--- a/tests/rules/test_judge.py
+++ b/tests/rules/test_judge.py
@@ -326,7 +326,7 @@
     writer.close()
     with open(path, "ab") as file:
         file.write(b'{"t":1,"at":"no')
-    rows = records.merged([path])
+    rows = records.read_merged([path])
     assert [row["number"] for row in rows] == list(range(300))
 
 
--- a/tests/start/test_start_faults.py
+++ b/tests/start/test_start_faults.py
@@ -53,7 +53,7 @@
 
 
 def all_records(plan):
-    return records.merged([plan["records"][who] for who in ("fleet", "drill")])
+    return records.read_merged([plan["records"][who] for who in ("fleet", "drill")])
 
 
 def full_lists_sent(rows, since):
--- a/tests/start/test_start_fleet.py
+++ b/tests/start/test_start_fleet.py
@@ -66,7 +66,7 @@
         poll(lambda: list_states(plan))
         poll(lambda: len({shown["version"] for shown in list_states(plan) or ()}) == 1)
         epochs = [json.loads(path.read_bytes())["life"] for path in kept_lists(tmp_path)]
-    rows = records.merged([plan["records"][who] for who in ("fleet", "drill")])
+    rows = records.read_merged([plan["records"][who] for who in ("fleet", "drill")])
     restarted_at = sorted(row["t"] for row in rows if row["what"] == "started")[FRONTS]
     told = [
         row for row in rows if row["what"] == "told" and row["t"] >= restarted_at and row["front"] in names
