--- a/curlewhall/dash/cmsd.py
+++ b/curlewhall/dash/cmsd.py
@@ -1,14 +1,17 @@
-"""CMSD (CTA-5006): what a node tells a player beside a segment. Only `mb` is used: the most kilobits a second
-that the player should ask for, which is how a front's change of rung reaches a play under way."""
+"""CMSD (CTA-5006): data that a node sends to a player with a segment.
 
+Only `mb` is used, the highest bit rate in kbit/s that the player should request. It carries a front's change
+of rung to a running play.
+"""
 
-def dynamic(server: str, most_kbps: int) -> str:
-    """The value of CMSD-Dynamic."""
+
+def dynamic_value(server: str, most_kbps: int) -> str:
+    """The value of the CMSD-Dynamic field."""
     return f'"{server}";mb={most_kbps}'
 
 
 def most_kbps(value: str) -> int | None:
-    """`mb` of a CMSD-Dynamic value, None where it is absent or no number."""
+    """`mb` of a CMSD-Dynamic value, None if it is absent or not a number."""
     for part in value.split(";"):
         name, _, figure = part.strip().partition("=")
         if name == "mb" and figure.isdigit():
--- a/curlewhall/dash/manifest.py
+++ b/curlewhall/dash/manifest.py
@@ -1,7 +1,7 @@
-"""Manifests: a static or dynamic MPD (ISO/IEC 23009-1) that points at one node and carries a session token.
+"""Writes and reads manifests: a static or dynamic MPD (ISO/IEC 23009-1) with one node and a session token.
 
-The rungs that a play may use are the Representations of one AdaptationSet, so that a player sees one set
-whatever node serves it; segments are numbered from 1 and equally long, on every node the same.
+The rungs that a play may use are the Representations of one AdaptationSet, so that a player sees the same set
+from every node. Segments are numbered from 1 and have the same length on all nodes.
 """
 
 from functools import lru_cache
@@ -14,68 +14,80 @@
 
 NS = "urn:mpeg:dash:schema:mpd:2011"
 PROFILE = "urn:mpeg:dash:profile:isoff-live:2011"
-# No entity is expanded and nothing is fetched: a manifest comes from outside.
+# Manifests are untrusted input: no entity is expanded and nothing is fetched.
 PARSER = etree.XMLParser(resolve_entities=False, no_network=True, dtd_validation=False, load_dtd=False)
 
 
-BASE, TOKEN, PLACE = "\ue000", "\ue001", "\ue002"  # what is filled in; of private use, so in no URL
+# Placeholders of a template: characters for private use, which no URL contains.
+BASE, TOKEN, LOCATION = "\ue000", "\ue001", "\ue002"
 
 
-class Plan(NamedTuple):
-    """What a player needs: where, with which token, which rungs, and how the segments lie in time."""
+class Presentation(NamedTuple):
+    """The contents of a manifest: the node's URL, the session token, the rungs and the segments."""
 
     base: str  # URL of the session on its node, ending in "/"
     token: str
-    rungs: list[tuple[int, int]]  # (rung, bits a second), rising
+    rungs: list[tuple[int, int]]  # (rung, bit/s), ascending
     segment: float  # seconds
-    length: float | None  # seconds in all; None: not told
+    length: float | None  # total duration in seconds; None: unknown
     first: int = 1  # number of the first segment
-    location: str = ""  # where the MPD is asked for anew (5.3.1.2, Location); "": where it came from
+    location: str = ""  # URL for updates of the MPD (5.3.1.2, Location); "": its own URL
 
 
 class ManifestError(CurlewhallError):
     """An MPD that a player could not play."""
 
-    remedy = "Look at what answers in the front's place: no front of this program writes it."
+    remedy = "Check what answers at the front's address: no front of this program writes such an MPD."
 
 
 def duration(seconds: float) -> str:
-    """As xs:duration."""
+    """Seconds as an xs:duration."""
     return f"PT{seconds:.3f}S"
 
 
-def write(plan: Plan) -> bytes:
-    """The MPD as bytes of XML. Plays differ in where and token alone, so the rest is made once for each
-    shape.
-    """
-    shape = template(tuple(plan.rungs), plan.segment, plan.length, plan.first, bool(plan.location))
-    for sign, text in ((BASE, plan.base), (TOKEN, plan.token), (PLACE, plan.location)):
-        shape = shape.replace(sign.encode(), escape(text, {'"': "&quot;"}).encode())
-    return shape
+def write(presentation: Presentation) -> bytes:
+    """The MPD as XML. Plays differ only in URLs and token, so the rest comes from a cached template."""
+    mpd = template(
+        tuple(presentation.rungs),
+        presentation.segment,
+        presentation.length,
+        presentation.first,
+        bool(presentation.location),
+    )
+    for placeholder, text in (
+        (BASE, presentation.base),
+        (TOKEN, presentation.token),
+        (LOCATION, presentation.location),
+    ):
+        mpd = mpd.replace(placeholder.encode(), escape(text, {'"': "&quot;"}).encode())
+    return mpd
 
 
 @lru_cache(maxsize=256)
 def template(
-    rungs: tuple[tuple[int, int], ...], segment: float, length: float | None, first: int, placed: bool
+    rungs: tuple[tuple[int, int], ...], segment: float, length: float | None, first: int, has_location: bool
 ) -> bytes:
-    """An MPD whose BaseURL, token and Location are still to be filled in."""
-    return build(Plan(BASE, TOKEN, list(rungs), segment, length, first, PLACE if placed else ""))
+    """An MPD with placeholders for BaseURL, token and Location."""
+    return build(
+        Presentation(BASE, TOKEN, list(rungs), segment, length, first, LOCATION if has_location else "")
+    )
 
 
-def build(plan: Plan) -> bytes:
+def build(presentation: Presentation) -> bytes:
+    """The MPD as XML, without the template cache."""
     mpd = etree.Element(f"{{{NS}}}MPD", nsmap={None: NS})
     mpd.set("profiles", PROFILE)
-    mpd.set("minBufferTime", duration(plan.segment))
-    if plan.length is None:
+    mpd.set("minBufferTime", duration(presentation.segment))
+    if presentation.length is None:
         mpd.set("type", "dynamic")
         mpd.set("availabilityStartTime", "1970-01-01T00:00:00Z")
         mpd.set("minimumUpdatePeriod", duration(60))
     else:
         mpd.set("type", "static")
-        mpd.set("mediaPresentationDuration", duration(plan.length))
-    etree.SubElement(mpd, f"{{{NS}}}BaseURL").text = plan.base
-    if plan.location:  # the schema's order: BaseURL, then Location
-        etree.SubElement(mpd, f"{{{NS}}}Location").text = plan.location
+        mpd.set("mediaPresentationDuration", duration(presentation.length))
+    etree.SubElement(mpd, f"{{{NS}}}BaseURL").text = presentation.base
+    if presentation.location:  # the schema's order: BaseURL, then Location
+        etree.SubElement(mpd, f"{{{NS}}}Location").text = presentation.location
     period = etree.SubElement(mpd, f"{{{NS}}}Period", id="0", start="PT0S")
     rungs = etree.SubElement(
         period,
@@ -89,40 +101,40 @@
     etree.SubElement(
         rungs,
         f"{{{NS}}}SegmentTemplate",
-        media=f"seg/$RepresentationID$/$Number$?t={plan.token}",
+        media=f"seg/$RepresentationID$/$Number$?t={presentation.token}",
         timescale="1000",
-        duration=str(round(plan.segment * 1000)),
-        startNumber=str(plan.first),
+        duration=str(round(presentation.segment * 1000)),
+        startNumber=str(presentation.first),
     )
-    for rung, bits in plan.rungs:
+    for rung, bits in presentation.rungs:
         etree.SubElement(
             rungs, f"{{{NS}}}Representation", id=f"r{rung}", bandwidth=str(bits), codecs="avc1.640028"
         )
     return etree.tostring(mpd, xml_declaration=True, encoding="UTF-8")
 
 
-def read(text: bytes) -> Plan:
-    """What a player takes from an MPD; `ManifestError` says what is missing or wrong."""
+def read(text: bytes) -> Presentation:
+    """Parse an MPD; `ManifestError` says what is missing or wrong."""
     try:
         mpd = etree.fromstring(text, PARSER)
         base = mpd.findtext(f"{{{NS}}}BaseURL")
         template = mpd.find(f".//{{{NS}}}SegmentTemplate")
         if mpd.tag != f"{{{NS}}}MPD" or not base or template is None:
-            raise ManifestError("no MPD, no BaseURL or no SegmentTemplate")
+            raise ManifestError("the MPD, its BaseURL or its SegmentTemplate is missing")
         rungs = [
             (int(r.get("id")[1:]), int(r.get("bandwidth")))
             for r in mpd.iterfind(f".//{{{NS}}}Representation")
         ]
-        whole = mpd.get("mediaPresentationDuration")
+        length = mpd.get("mediaPresentationDuration")
         token = template.get("media").partition("?t=")[2]
         if not rungs or not token:
-            raise ManifestError("no Representation or no token")
-        return Plan(
+            raise ManifestError("the Representations or the token are missing")
+        return Presentation(
             base,
             token,
             rungs,
             int(template.get("duration")) / int(template.get("timescale")),
-            float(whole[2:-1]) if whole else None,
+            float(length[2:-1]) if length else None,
             int(template.get("startNumber", "1")),
             mpd.findtext(f"{{{NS}}}Location") or "",
         )
--- a/curlewhall/dash/tokens.py
+++ b/curlewhall/dash/tokens.py
@@ -8,11 +8,11 @@
 from curlewhall.errors import CurlewhallError
 
 ALGORITHM = "HS256"
-LEEWAY = 2  # seconds: about what clocks of kept machines differ
+LEEWAY_S = 2  # clocks of maintained machines differ by about as much
 
 
 class Session(NamedTuple):
-    """What a token says: this play, on this node, as this front's allocation."""
+    """The claims of a token: a play on a node, by an allocation of a front."""
 
     play: str
     number: int
@@ -23,27 +23,27 @@
 
 
 class TokenError(CurlewhallError):
-    """A token that is not taken; the text says why, without the token."""
+    """An invalid token; the text gives the reason and doesn't contain the token."""
 
-    remedy = "Give fronts and nodes the same key file, and look at the clocks of both machines."
+    remedy = "Give fronts and nodes the same key file, and check the clocks of both machines."
 
 
 def read_key(path: str) -> bytes:
-    """The shared key's bytes; `OSError`, or `ValueError` where they are fewer than 32."""
+    """The bytes of the shared key; `OSError`, or `ValueError` if they are fewer than 32."""
     key = Path(path).read_bytes()
     if len(key) < 32:
-        raise ValueError(f"the key has {len(key)} bytes, 32 at least are needed")
+        raise ValueError(f"the key has {len(key)} bytes, expected at least 32")
     return key
 
 
-def sign(session: Session, key: bytes, now: float, life: float) -> str:
-    """A token good for `life` seconds from `now` (seconds since 1970)."""
+def sign(session: Session, key: bytes, now: float, lifetime_s: float) -> str:
+    """A token that is valid for `lifetime_s` from `now` (seconds since 1970)."""
     claims: dict[str, Any] = {
         "sub": session.play,
         "aud": session.node,
         "iss": session.front,
         "iat": int(now),
-        "exp": int(now + life),
+        "exp": int(now + lifetime_s),
         "num": session.number,
         "ttl": session.title,
         "prd": session.product,
@@ -52,14 +52,14 @@
 
 
 def check(token: str, key: bytes, node: str) -> Session:
-    """The session of a token made for `node` that is signed, whole and in time; else `TokenError`."""
+    """The session of a token; `TokenError` if its signature, audience, claims or lifetime are invalid."""
     try:
         claims = jwt.decode(
             token,
             key,
             algorithms=[ALGORITHM],
             audience=node,
-            leeway=LEEWAY,
+            leeway=LEEWAY_S,
             options={"require": ["exp", "aud", "sub", "iss", "num"]},
         )
         return Session(
--- a/curlewhall/front/viewers.py
+++ b/curlewhall/front/viewers.py
@@ -286,7 +286,7 @@
         top = max(info.floor, min(info.top, start_settings["specifics.highest_rung"][index], len(ladder) - 1))
         session = tokens.Session(info.play, number, active_play.node, self.front, info.title, info.product)
         token = tokens.sign(session, self.token_key, time.time(), self.token_lifetime_s)
-        plan = manifest.Plan(
+        plan = manifest.Presentation(
             f"http://{address}/s/{info.play}/{number}/",
             token,
             [(rung, int(ladder[rung] * scale * 8000)) for rung in range(info.floor, top + 1)],
--- a/curlewhall/standins/node.py
+++ b/curlewhall/standins/node.py
@@ -287,7 +287,7 @@
 
     def hear(self, play: Play, told: str) -> None:
         """What the viewer has in hand (CMCD `bl`, CTA-5004, in milliseconds) goes on to its front."""
-        seconds = cmcd.buffer(told)
+        seconds = cmcd.buffer_s(told)
         if seconds is not None:
             self.event(play.front, forms.Event("buffer", play.facts.play, play.facts.number, seconds))
 
@@ -301,7 +301,7 @@
         size = max(32, int(play.rate * 1000 * self.plan["segment"] * self.plan["byte_scale"]))
         body = b"%08d%08d" % (number, rung)
         body += b"\0" * (size - len(body))
-        told = cmsd.dynamic(self.name, int(kb * 8))
+        told = cmsd.dynamic_value(self.name, int(kb * 8))
         exchange.start(200, {"content-type": "video/mp4", "cmsd-dynamic": told}, len(body))
         half = len(body) // 2
         exchange.write(body[:half])
