--- a/tests/wire/test_http.py
+++ b/tests/wire/test_http.py
@@ -1,4 +1,4 @@
-"""Bytes to messages: what is taken, what is refused and with which status."""
+"""Parsing of HTTP messages: which are accepted, and which are rejected with which status."""
 
 import pytest
 
@@ -9,11 +9,12 @@
 LIMITS = http.Limits(line=100, head=400, body=50)
 
 
-def fed(raw, step=None, limits=LIMITS):
-    reader = http.RequestParser(limits)
+def parse(raw, step=None, limits=LIMITS):
+    """The requests in `raw`, which is fed in pieces of `step` bytes."""
+    parser = http.RequestParser(limits)
     for i in range(0, len(raw), step or len(raw)):
-        reader.feed(raw[i : i + (step or len(raw))])
-    return list(reader.messages)
+        parser.feed(raw[i : i + (step or len(raw))])
+    return list(parser.messages)
 
 
 @pytest.mark.parametrize(
@@ -45,21 +46,21 @@
     ids=range(22),
 )
 @pytest.mark.parametrize("step", [None, 1, 7])
-def test_what_could_be_read_in_two_ways_or_is_too_long_is_refused(status, raw, step):
+def test_ambiguous_or_oversized_request_is_rejected_with_its_status(status, raw, step):
     with pytest.raises(http.HttpMessageError) as caught:
-        fed(raw, step)
+        parse(raw, step)
     assert caught.value.status == status
 
 
 @pytest.mark.parametrize("step", [None, 1, 5])
-def test_requests_come_whole_however_they_are_cut(step):
+def test_requests_are_parsed_however_their_bytes_are_divided(step):
     raw = (
         b"GET /a HTTP/1.1\r\n" + HOST + b"X: 1\r\nx: 2\r\n\r\n"
         b"POST /b HTTP/1.1\r\n" + HOST + b"Transfer-Encoding: chunked\r\n\r\n"
         b"2\r\nhi\r\n1\r\n!\r\n0\r\n\r\n"
         b"POST /c HTTP/1.1\r\n" + HOST + b"Content-Length: 2\r\nConnection: close\r\n\r\nok"
     )
-    found = fed(raw, step)
+    found = parse(raw, step)
     assert [(m.method, m.target, m.body, m.keep_alive) for m in found] == [
         ("GET", "/a", b"", True),
         ("POST", "/b", b"hi!", True),
@@ -69,15 +70,15 @@
 
 
 @pytest.mark.parametrize(("fields"), [{"a": "b\r\nc: d"}, {"a\r\nb": "c"}, {"a": "x\ny"}, {"a": "\0"}])
-def test_nothing_breaks_out_of_its_field(fields):
+def test_line_break_or_nul_in_a_header_field_raises_value_error(fields):
     with pytest.raises(ValueError):
         http.head_bytes("GET / HTTP/1.1", fields)
 
 
-def test_a_body_is_heard_piece_by_piece_where_asked_for():
-    heard = []
-    reader = http.ResponseParser(LIMITS, lambda message, piece: heard.append((message.status, piece)))
-    reader.feed(
+def test_response_body_is_passed_on_in_pieces_if_requested():
+    pieces = []
+    parser = http.ResponseParser(LIMITS, lambda message, piece: pieces.append((message.status, piece)))
+    parser.feed(
         http.response_head_bytes(200, {}, None, True) + http.chunk_bytes(b"one") + http.chunk_bytes(b"x" * 90)
     )
-    assert heard == [(200, b"one"), (200, b"x" * 90)] and not reader.messages
+    assert pieces == [(200, b"one"), (200, b"x" * 90)] and not parser.messages
