--- a/curlewhall/drills/sites.py
+++ b/curlewhall/drills/sites.py
@@ -21,11 +21,10 @@
 TICKS_PER_SECOND = 10_000  # of the records
 SERVICE_SPAN_TICKS = 10 * TICKS_PER_SECOND  # after the loss, in which service is counted
 HEALTHY_SPAN_TICKS = 3 * TICKS_PER_SECOND  # before the loss
-DETECTION_TICKS = (
-    6 * TICKS_PER_SECOND
-)  # by then the fronts must have noticed any loss; a silent site takes longest
+# By then the fronts must have noticed any loss; nodes that accept connections but answer nothing come last.
+DETECTION_TICKS = 6 * TICKS_PER_SECOND
 STATUS_NAMES = {200: "served", 503: "declined", 502: "failed"}
-LOAD_FACTOR = 1.8  # of the plan's load: more than half of the nodes can serve
+LOAD_FACTOR = 1.8  # of the plan's load: too much for half of the nodes
 
 
 def loss_and_return(rows: list[Record]) -> tuple[int, int]:
