--- a/curlewhall/drills/troubles.py
+++ b/curlewhall/drills/troubles.py
@@ -53,7 +53,7 @@
 
 
 @trouble
-def crash(rng, plan, seconds):
+def crash(rng: random.Random, plan: dict, seconds: float) -> list[Step]:
     """Node processes are killed and start again, cold."""
     begin, end = random_span(rng, seconds, 0.15, 0.4)
     return [
@@ -64,25 +64,25 @@
 
 
 @trouble
-def hang(rng, plan, seconds):
+def hang(rng: random.Random, plan: dict, seconds: float) -> list[Step]:
     """Nodes accept all connections and requests and answer none."""
     return lasting_fault(rng, seconds, random_nodes(rng, plan, 0.05, 0.2), "freeze", 1)
 
 
 @trouble
-def freeze_setups(rng, plan, seconds):
+def freeze_setups(rng: random.Random, plan: dict, seconds: float) -> list[Step]:
     """Nodes accept set-ups and never answer them, while their plays go on."""
     return lasting_fault(rng, seconds, random_nodes(rng, plan, 0.05, 0.25), "freeze_setups", 1)
 
 
 @trouble
-def slow(rng, plan, seconds):
+def slow(rng: random.Random, plan: dict, seconds: float) -> list[Step]:
     """Links of nodes are slower by a factor."""
     return lasting_fault(rng, seconds, random_nodes(rng, plan, 0.07, 0.25), "slow", rng.uniform(1.8, 4))
 
 
 @trouble
-def neighbour(rng, plan, seconds):
+def neighbour(rng: random.Random, plan: dict, seconds: float) -> list[Step]:
     """Another program uses a share of the nodes' links, on and off."""
     begin, end = random_span(rng, seconds, 0.3, 0.6)
     nodes = random_nodes(rng, plan, 0.1, 0.5)
@@ -104,14 +104,14 @@
 
 
 @trouble
-def origin_slow(rng, plan, seconds):
+def origin_slow(rng: random.Random, plan: dict, seconds: float) -> list[Step]:
     """The uplinks of three racks in ten are slower by a factor."""
     racks = rng.sample(range(plan["racks"]), max(1, round(0.3 * plan["racks"])))
     return lasting_fault(rng, seconds, [f"rack:{rack}" for rack in racks], "sag", rng.uniform(1.3, 2.5))
 
 
 @trouble
-def ageing(rng, plan, seconds):
+def ageing(rng: random.Random, plan: dict, seconds: float) -> list[Step]:
     """Nodes become slower step by step, then crash and start again."""
     begin, end = random_span(rng, seconds, 0.3, 0.5)
     steps = []
@@ -122,13 +122,13 @@
 
 
 @trouble
-def reset(rng, plan, seconds):
+def reset(rng: random.Random, plan: dict, seconds: float) -> list[Step]:
     """Connections are reset in the middle of answers to set-ups."""
     return lasting_fault(rng, seconds, random_nodes(rng, plan, 0.05, 0.15), "reset", 1, 0.1, 0.3)
 
 
 @trouble
-def garbage(rng, plan, seconds):
+def garbage(rng: random.Random, plan: dict, seconds: float) -> list[Step]:
     """Nodes answer with something that is not HTTP, or with an endless response head."""
     return lasting_fault(
         rng, seconds, random_nodes(rng, plan, 0.05, 0.15), rng.choice(["garbage", "endless"]), 1, 0.1, 0.3
@@ -136,13 +136,13 @@
 
 
 @trouble
-def stranger(rng, plan, seconds):
+def stranger(rng: random.Random, plan: dict, seconds: float) -> list[Step]:
     """Another server answers at a node's address."""
     return lasting_fault(rng, seconds, random_nodes(rng, plan, 0.05, 0.1), "stranger", 1, 0.1, 0.3)
 
 
 @trouble
-def release(rng, plan, seconds):
+def release(rng: random.Random, plan: dict, seconds: float) -> list[Step]:
     """Nodes drain one after another, stop, and start again, cold."""
     nodes = random_nodes(rng, plan, 0.1, 0.3)
     steps = []
@@ -158,31 +158,31 @@
 
 
 @trouble
-def discovery_down(rng, plan, seconds):
+def discovery_down(rng: random.Random, plan: dict, seconds: float) -> list[Step]:
     """The list service is down."""
     return lasting_fault(rng, seconds, ["list"], "down", 1)
 
 
 @trouble
-def discovery_stale(rng, plan, seconds):
+def discovery_stale(rng: random.Random, plan: dict, seconds: float) -> list[Step]:
     """The list service reports changes later than usual."""
     return lasting_fault(rng, seconds, ["list"], "stale", rng.uniform(1, 4))
 
 
 @trouble
-def peer_down(rng, plan, seconds):
+def peer_down(rng: random.Random, plan: dict, seconds: float) -> list[Step]:
     """Messages between fronts are lost."""
     return lasting_fault(rng, seconds, ["peers"], "loss", 1.0)
 
 
 @trouble
-def report_gap(rng, plan, seconds):
+def report_gap(rng: random.Random, plan: dict, seconds: float) -> list[Step]:
     """Nodes send no reports of load and of short delivery."""
     return lasting_fault(rng, seconds, random_nodes(rng, plan, 0.2, 0.5), "gap", 1)
 
 
 @trouble
-def balancer_crash(rng, plan, seconds):
+def balancer_crash(rng: random.Random, plan: dict, seconds: float) -> list[Step]:
     """Fronts are killed and start again on the same port."""
     begin, end = random_span(rng, seconds, 0.05, 0.2)
     count = max(1, round(len(plan["fronts"]) * rng.uniform(0.1, 0.45)))
@@ -205,21 +205,21 @@
 
 
 @trouble
-def burst(rng, plan, seconds):
+def burst(rng: random.Random, plan: dict, seconds: float) -> list[Step]:
     """A surge of viewers for all titles."""
     add_surge(rng, plan, seconds, rng.uniform(1.4, 2.2))
     return []
 
 
 @trouble
-def hot_key(rng, plan, seconds):
+def hot_key(rng: random.Random, plan: dict, seconds: float) -> list[Step]:
     """A surge of viewers for one title."""
     add_surge(rng, plan, seconds, rng.uniform(1.1, 1.4), title=rng.choice(plan["titles"])["title"])
     return []
 
 
 @trouble
-def tenant_burst(rng, plan, seconds):
+def tenant_burst(rng: random.Random, plan: dict, seconds: float) -> list[Step]:
     """A surge of viewers of one customer."""
     add_surge(rng, plan, seconds, rng.uniform(1.5, 2.2), customer=rng.choice(plan["customers"])["name"])
     return []
