--- a/bench/sites_sim.py
+++ b/bench/sites_sim.py
@@ -28,7 +28,7 @@
 from curlewhall.settings import parse, start_settings
 from curlewhall.sites.null_objects import NoSites
 from curlewhall.sites.run import SiteMonitor, site_number
-from curlewhall.standins.model import Machine, Rack, unit
+from curlewhall.standins.model import NodeModel, Rack, hash_fraction
 from curlewhall.wire import forms
 
 SECONDS, LOSS, BACK = 60.0, 20.0, 35.0  # of a run; when the site is killed, and returns
@@ -178,13 +178,13 @@
         self.world, self.spec, self.name, self.up, self.started_ms = world, spec, spec["node"], True, 0
         self.machine = self.make(True)
         self.plays = {}
-        world.after(unit(self.name, "tick"), self.tick)
-        world.after(2 * unit(self.name, "load"), self.load)
+        world.after(hash_fraction(self.name, "tick"), self.tick)
+        world.after(2 * hash_fraction(self.name, "load"), self.load)
 
     def make(self, warm):
         rack = self.world.racks[self.spec["place"] % len(self.world.racks)]
         rack.nodes[:] = [m for m in rack.nodes if m.name != self.name]
-        return Machine(
+        return NodeModel(
             self.name,
             rack,
             self.spec["link"],
@@ -209,7 +209,7 @@
 
     def die(self, fell=False):
         self.up, plays, self.plays = False, self.plays, {}
-        self.machine.asked = 0.0
+        self.machine.demand = 0.0
         self.machine.rack.nodes[:] = [m for m in self.machine.rack.nodes if m is not self.machine]
         for front in self.world.fronts:
             self.world.after(self.world.rng.uniform(0.001, 0.01), front.stream_broke, self.name)
@@ -225,11 +225,11 @@
 
     def weigh(self, play, rate):
         front, active_play, who, was = self.plays[play]
-        self.machine.asked += rate - was
+        self.machine.demand += rate - was
         self.plays[play] = front, active_play, who, rate
 
     def end(self, play):
-        self.machine.asked = max(0.0, self.machine.asked - self.plays.pop(play)[3])
+        self.machine.demand = max(0.0, self.machine.demand - self.plays.pop(play)[3])
 
     def tick(self):
         self.world.after(1.0, self.tick)
@@ -244,8 +244,8 @@
     def load(self):
         self.world.after(2.0, self.load)
         if self.up:
-            self.tell("link_asked", self.machine.full(self.world.now))
-            self.tell("uplink_asked", self.machine.rack.full())
+            self.tell("link_asked", self.machine.load(self.world.now))
+            self.tell("uplink_asked", self.machine.rack.load())
 
     def tell(self, kind, value):
         told = set()
@@ -255,8 +255,8 @@
                 self.world.after(0.7, front.driver.play_noted, play, self.name, kind, value)
 
     def report(self):
-        full = self.machine.full(self.world.now)
-        return {"link_asked": full, "uplink_asked": self.machine.rack.full()}
+        full = self.machine.load(self.world.now)
+        return {"link_asked": full, "uplink_asked": self.machine.rack.load()}
 
 
 class Ask:
@@ -368,7 +368,7 @@
         if len(node.plays) >= node.spec["streams"]:
             self.world.after(0.003, ask.settle, "full", 0.003, node.report())
             return ask
-        if node.machine.took(self.world.now):
+        if node.machine.count_setup(self.world.now):
             node.die(fell=True)
         low, high = self.world.plan["setup_ms"]
         took = self.world.rng.uniform(low, high) / 1000 / node.machine.warmth(self.world.now)
@@ -391,7 +391,11 @@
 
     def rate(self, active_play, rung):
         scale = self.world.plan["scales"][active_play.info.product]
-        return self.world.plan["rung_kb"][rung] * scale * (1 + 0.15 * (2 * unit(active_play.info.title) - 1))
+        return (
+            self.world.plan["rung_kb"][rung]
+            * scale
+            * (1 + 0.15 * (2 * hash_fraction(active_play.info.title) - 1))
+        )
 
     def seen_enough(self, node, play, span, who):
         if play in node.plays and node.plays[play][2] is who:
--- a/curlewhall/standins/__init__.py
+++ b/curlewhall/standins/__init__.py
@@ -1,5 +1,6 @@
-"""Stand-ins on loopback: playout nodes, the list service and viewers, with faults on command.
+"""Stand-ins on loopback for playout nodes, the list service and viewers, with fault injection.
 
-They meet a front through its sockets alone and write down what passes at theirs (`curlewhall.records`).
-Delivery is paced in true time with the bytes scaled down, by `byte_scale` of the plan.
+They communicate with a front over sockets alone and record the traffic at their own side
+(`curlewhall.records`). Segments are sent in real time, with their size scaled down by the plan's
+`byte_scale`.
 """
--- a/curlewhall/standins/fleet.py
+++ b/curlewhall/standins/fleet.py
@@ -1,9 +1,10 @@
-"""All nodes and the list service in one process, on the addresses of a plan; faults over a control socket.
+"""All nodes and the list service of a plan in one process, with an HTTP control port for faults.
 
     python -m curlewhall.standins.fleet PLAN.json
 
-The plan is written by `curlewhall.drills.fleet`. POST /fault with {"target": NODE, "list", "peers", "rack:N"
-or "link:ONE>OTHER", "kind": ..., "value": ...} on the control address asks for a fault.
+`curlewhall.drills.fleet` writes the plan. To start or end a fault, POST {"target": ..., "kind": ..., "value":
+...} to /fault on the control address; the target is a node's name, "list", "peers", "rack:N", "site:ZONE" or
+"link:SOURCE>TARGET".
 """
 
 import asyncio
@@ -33,8 +34,10 @@
     """The stand-ins of one plan."""
 
     def __init__(self, plan: dict) -> None:
-        self.plan, self.loop = plan, asyncio.get_running_loop()
-        self.timers, self.records = Timers(self.loop), Writer(plan["records"]["fleet"])
+        self.plan = plan
+        self.loop = asyncio.get_running_loop()
+        self.timers = Timers(self.loop)
+        self.records = Writer(plan["records"]["fleet"])
         key = read_key(plan["key_file"])
         self.racks = [Rack(uplink) for uplink in plan["uplinks"]]
         self.nodes = {
@@ -66,6 +69,7 @@
         self.relay = Relay(self.loop, self.timers, plan["relay"], self.records, names)
 
     def row(self, node: Node, state: str = "serving") -> forms.Row:
+        """The node's entry in the list."""
         spec = node.spec
         return forms.Row(
             spec["node"],
@@ -80,24 +84,26 @@
         )
 
     async def start(self) -> None:
+        """Open all sockets; the nodes start warm."""
         await self.relay.start()
         for node in self.nodes.values():
-            node.fell = self.fell
+            node.on_crash = self.node_crashed
             node.start(warm=True)
         self.list.start()
         if self.links is not None:
             self.links.open_fronts()
         where = self.plan["stranger"]
-        Server(self.loop, self.timers, listen(where["address"], where["port"]), self.stray)
+        Server(self.loop, self.timers, listen(where["address"], where["port"]), self.handle_stranger)
         Pulse(self.timers, self.records, "fleet")
         where = self.plan["control"]
-        Server(self.loop, self.timers, listen(where["address"], where["port"]), self.control)
+        Server(self.loop, self.timers, listen(where["address"], where["port"]), self.handle_control)
 
-    def fell(self, node: Node) -> None:
+    def node_crashed(self, node: Node) -> None:
+        """Take a node that crashed under overload off the list."""
         self.list.change(self.row(node, "gone"))
 
-    def stray(self, exchange: Exchange) -> None:
-        """Another machine, at an address that old lists name: it answers in the nodes' words, as itself."""
+    def handle_stranger(self, exchange: Exchange) -> None:
+        """Answer as another machine at an address from an old list would: as a node, under its own name."""
         path = exchange.request.target.partition("?")[0]
         self.records.write("stranger", "stray", path=path, method=exchange.request.method)
         if path == "/v1/events":
@@ -108,16 +114,21 @@
         else:
             exchange.reply(201 if path == "/v1/plays" else 404, {}, forms.encode(forms.SetUpDone("stranger")))
 
-    def control(self, exchange: Exchange) -> None:
+    def handle_control(self, exchange: Exchange) -> None:
+        """Answer a request for a fault: 204, or 400 with the reason."""
         try:
-            asked = msgspec.json.decode(exchange.request.body)
-            self.fault(asked["target"], asked["kind"], float(asked["value"]))
+            request = msgspec.json.decode(exchange.request.body)
+            self.fault(request["target"], request["kind"], float(request["value"]))
         except (msgspec.DecodeError, KeyError, TypeError, ValueError) as err:
             exchange.reply(400, {}, f"{type(err).__name__}: {err}\n".encode())
             return
         exchange.reply(204)
 
     def fault(self, target: str, kind: str, value: float) -> None:
+        """Start or (value 0) end a fault of a target, written as in the module's doc comment.
+
+        Raises ValueError or KeyError for a target or kind that doesn't exist.
+        """
         if target == "list":
             self.list.fault(kind, value)
             return
@@ -125,75 +136,74 @@
             self.relay.fault(kind, value)
             return
         if target.startswith("link:"):
-            self.link(target, kind, value)
+            self.link_fault(target, kind, value)
             return
         if target.startswith("site:"):
-            self.site(target, kind, value)
+            self.site_fault(target, kind, value)
             return
         if target.startswith("rack:"):
             rack = self.racks[int(target[5:])]
-            rack.sag = value or 1.0
+            rack.uplink_divisor = value or 1.0
             self.records.write(target, "fault", kind=kind, value=value)
             return
         node = self.nodes[target]
-        was = node.server is not None
+        was_up = node.server is not None
         node.fault(kind, value)
-        if kind == "die" and was:
+        if kind == "die" and was_up:
             self.list.change(self.row(node, "gone"))
-        elif kind == "start" and not was:
+        elif kind == "start" and not was_up:
             self.list.change(self.row(node))
         elif kind == "drain":
             self.list.change(self.row(node, "draining" if value else "serving"))
 
-    def site(self, target: str, kind: str, value: float) -> None:
-        """A fault of all nodes of a zone in one moment; `half` in the kind's place of the first half
-        alone.
-        """
+    def site_fault(self, target: str, kind: str, value: float) -> None:
+        """Start or end a fault at all nodes of a zone at once; a kind with "half-" affects the first half."""
         nodes = [node.name for node in self.nodes.values() if node.spec["zone"] == target[5:]]
         if not nodes:
-            raise ValueError(f"{target}: no node lies there")
+            raise ValueError(f"{target}: no node of the plan is in this zone")
         self.records.write(target, "fault", kind=kind, value=value)
         half = kind.startswith("half-")
         for node in nodes[: max(1, len(nodes) // 2)] if half else nodes:
             self.fault(node, kind.removeprefix("half-"), value)
 
-    def link(self, target: str, kind: str, value: float) -> None:
-        """A fault of one direction: between fronts of datagrams, else of TCP; "*" may mean both.
+    def link_fault(self, target: str, kind: str, value: float) -> None:
+        """Start or end a fault of one direction, of TCP links and, between fronts, of datagrams.
 
-        `site:ZONE` in the place of a node stands for all nodes there, in one moment.
+        "*" stands for every process, `site:ZONE` in place of a node for all nodes of the zone, at once.
         """
-        one, arrow, other = target[5:].partition(">")
-        zones = [end[5:] for end in (one, other) if end.startswith("site:")]
+        source, arrow, destination = target[5:].partition(">")
+        zones = [end[5:] for end in (source, destination) if end.startswith("site:")]
         if zones:
             nodes = [node.name for node in self.nodes.values() if node.spec["zone"] == zones[0]]
             for node in nodes:
-                ends = (node if end.startswith("site:") else end for end in (one, other))
-                self.link("link:" + ">".join(ends), kind, value)
+                ends = (node if end.startswith("site:") else end for end in (source, destination))
+                self.link_fault("link:" + ">".join(ends), kind, value)
             if not nodes:
-                raise ValueError(f"{target}: no node lies there")
+                raise ValueError(f"{target}: no node of the plan is in this zone")
             self.records.write(target, "fault", kind=kind, value=value)
             return
         fronts = {front["name"] for front in self.plan["fronts"]} | {"*"}
         if not arrow:
-            raise ValueError(f"{target}: expected link:ONE>OTHER")
+            raise ValueError(f"{target}: expected link:SOURCE>TARGET")
         found = False
-        if one in fronts and other in fronts and kind in self.relay.KINDS:
-            found = self.relay.fault_between(one, other, kind, value)
+        if source in fronts and destination in fronts and kind in self.relay.KINDS:
+            found = self.relay.fault_between(source, destination, kind, value)
         if self.links is not None and kind in self.links.KINDS:
-            found = self.links.fault(one, other, kind, value) or found
+            found = self.links.fault(source, destination, kind, value) or found
         if not found:
-            raise ValueError(f"{target}: no link that knows {kind!r}")
+            raise ValueError(f"{target}: no such link takes a fault of kind {kind!r}")
         self.records.write(target, "fault", kind=kind, value=value)
 
 
 async def main(plan: dict) -> None:
+    """Run the fleet of a plan until SIGTERM or SIGINT; prints "ready" once all sockets are open."""
     fleet = Fleet(plan)
-    told = asyncio.Event()
+    stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        fleet.loop.add_signal_handler(number, told.set)
+        fleet.loop.add_signal_handler(number, stop.set)
     await fleet.start()
     print("ready", flush=True)
-    await told.wait()
+    await stop.wait()
     fleet.records.close()
 
 
--- a/curlewhall/standins/model.py
+++ b/curlewhall/standins/model.py
@@ -1,84 +1,98 @@
-"""Links, uplinks, warm-up and falling over of a simulated fleet. No I/O: the caller brings the time
-(seconds).
+"""Capacity model of simulated nodes: links, rack uplinks, warm-up and overload crashes.
 
-Where more is asked than a link or a rack's uplink gives, all plays there get the same share of their rates.
+No I/O: the caller passes the time in seconds; rates are in kB per second. Where the demand on a link or on a
+rack's uplink is over its capacity, all plays there get the same share of their rates.
 """
 
 from collections import deque
 from zlib import crc32
 
 
-def unit(*facts) -> float:
-    """A number in [0, 1) that depends on nothing but `facts`."""
-    return crc32(":".join(map(str, facts)).encode()) / 2**32
+def hash_fraction(*key) -> float:
+    """A pseudo-random number in [0, 1) that depends on `key` alone."""
+    return crc32(":".join(map(str, key)).encode()) / 2**32
 
 
 class Rack:
-    """The nodes of a rack, and what its uplink carries."""
+    """The nodes of a rack, and the load of their common uplink."""
 
     def __init__(self, uplink: float) -> None:
-        self.uplink, self.sag, self.nodes = uplink, 1.0, []
+        self.uplink = uplink
+        self.uplink_divisor = 1.0  # over 1 while a fault reduces the uplink
+        self.nodes: list[NodeModel] = []
 
-    def asked(self) -> float:
-        return sum(node.asked for node in self.nodes)
+    def demand(self) -> float:
+        """The sum of the rates of all plays in the rack."""
+        return sum(node.demand for node in self.nodes)
 
-    def full(self) -> float:
-        """Asked over given."""
-        return self.asked() / (self.uplink / self.sag)
+    def load(self) -> float:
+        """Demand over capacity of the uplink; may be over 1."""
+        return self.demand() / (self.uplink / self.uplink_divisor)
 
 
-class Machine:
-    """One node: what it carries, how warm it is, how many set-ups it has had lately."""
+class NodeModel:
+    """The capacity of one node: its load, its warm-up and its recent set-ups."""
 
     def __init__(
         self, name: str, rack: Rack, link: float, streams: int, rules: dict, now: float, warm: bool
     ) -> None:
-        self.name, self.rack, self.rules, self.streams = name, rack, rules, streams
-        self.link, self.slow, self.neighbour = link, 1.0, 0.0
-        self.asked, self.setups = 0.0, deque()
+        self.name = name
+        self.rack = rack
+        self.rules = rules
+        self.streams = streams  # plays that the node takes at most
+        self.link = link
+        self.slow = 1.0  # divisor of the link's capacity
+        self.neighbour = 0.0  # share of the link that other traffic takes
+        self.demand = 0.0  # sum of the rates of all plays here
+        self.setups = deque()  # times of the set-ups in the last `rules["fall"]` seconds
         self.started = float("-inf") if warm else now
-        self.born = now
+        self.created = now
         rack.nodes.append(self)
 
     def warmth(self, now: float) -> float:
+        """The share of its capacity that the node has: it rises from a cold start's share to 1."""
         start = self.rules["start_capacity"]
         return min(1.0, start + (1 - start) * (now - self.started) / self.rules["warm_within"])
 
-    def given(self, now: float) -> float:
-        """What the link gives to plays."""
+    def capacity(self, now: float) -> float:
+        """The rate that the link has for plays."""
         return self.link * self.warmth(now) * (1 - self.neighbour) / self.slow
 
-    def full(self, now: float) -> float:
-        return self.asked / self.given(now)
+    def load(self, now: float) -> float:
+        """Demand over capacity of the link; may be over 1."""
+        return self.demand / self.capacity(now)
 
     def share(self, now: float) -> float:
         """The share of its rate that every play here gets."""
-        return min(1.0, 1 / max(self.full(now), self.rack.full(), 1e-9))
+        return min(1.0, 1 / max(self.load(now), self.rack.load(), 1e-9))
 
-    def bears(self, now: float) -> float:
-        """Set-ups that a cold node bears within the window; beyond, it falls over."""
+    def setup_budget(self, now: float) -> float:
+        """Set-ups that a cold node survives within a window of `rules["fall"]` seconds."""
         rules = self.rules
-        pace = self.streams / rules["warm_within"] * self.warmth(now)
-        return rules["overload_factor"] * pace * rules["fall"]
+        setups_per_s = self.streams / rules["warm_within"] * self.warmth(now)
+        return rules["overload_factor"] * setups_per_s * rules["fall"]
 
-    def took(self, now: float) -> bool:
-        """Count a set-up; True where the node falls over by it."""
+    def count_setup(self, now: float) -> bool:
+        """Count a set-up; returns whether it overloads the node, which then crashes."""
         if now - self.started >= self.rules["warm_within"]:
             return False
         self.setups.append(now)
         while self.setups[0] <= now - self.rules["fall"]:
             self.setups.popleft()
-        # one more: what is counted by whole set-ups is over a budget of 2.4 with the third at the earliest
-        return len(self.setups) > self.bears(now) + 1
+        # One more than the budget, as set-ups are counted whole: the third is the first over a budget of 2.4.
+        return len(self.setups) > self.setup_budget(now) + 1
 
     def report(self, now: float, fields: list[str], noise: float, count: int, plays: int) -> dict[str, float]:
-        """A load report, as noisy as said."""
-        off = 1 + noise * (2 * unit(self.name, count) - 1)
-        full = self.full(now) * off
+        """The values of `fields` in a load report, off by up to the share `noise`.
+
+        `count` seeds the noise; `plays` is the node's number of plays.
+        """
+        noise_factor = 1 + noise * (2 * hash_fraction(self.name, count) - 1)
+        link_load = self.load(now) * noise_factor
         values = {
-            "link_share": min(1.0, full),
-            "link_asked": full,
-            "uplink_asked": self.rack.full() * off,
+            "link_share": min(1.0, link_load),
+            "link_asked": link_load,
+            "uplink_asked": self.rack.load() * noise_factor,
             "streams": float(plays),
         }
         return {field: round(values[field], 4) for field in fields}
--- a/curlewhall/standins/platform.py
+++ b/curlewhall/standins/platform.py
@@ -1,7 +1,8 @@
-"""The platform's three sides, small and on loopback: playout nodes, viewers, the command channel.
+"""Stand-ins on loopback for what a relay connects to: playout nodes, viewers and the command channel.
 
-What passes on the sockets is kept in `Platform.seen` as (side, what, session, value); the count at the end
-of this file reads nothing else. Faults are asked for by name. Only the codecs are shared with the relay.
+The traffic on their sockets is recorded in `Platform.traffic` as (side, what, session, value). The checks
+`Platform.running_sessions` and `Platform.violations` read that record alone. Faults are selected by name.
+Only the codecs are shared with the relay.
 """
 
 import asyncio
@@ -14,12 +15,13 @@
 
 from curlewhall.codecs import messages, rtsp
 
-from .links import End, Trouble, Way, nobody, reset
+from .links import Flow, FlowEndpoint, LinkFaults, ignore_data, reset
 
-RST = struct.pack("ii", 1, 0)
-# what a node does with a set-up
-REFUSE = {"full": 453, "error": 500, "moot": 454, "reset": 504}
-SPOILT = {
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER value with which a close sends a reset
+# Behaviours of a node that refuse a set-up, with their RTSP status.
+REFUSAL_STATUSES = {"full": 453, "error": 500, "moot": 454, "reset": 504}
+# Behaviours of a node that answer a set-up with invalid RTSP; "%s" is replaced by the session.
+INVALID_ANSWERS = {
     "noise": b"\x00\xff\x13\x07" * 8,
     "endless": b"RTSP/1.0 200 " + b"A" * 4096,
     "huge": b"RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: %s\r\nContent-Length: 3000000000\r\n\r\n",
@@ -32,271 +34,333 @@
     """End a connection with a reset."""
     sock = writer.get_extra_info("socket")
     with contextlib.suppress(OSError):
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RST)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     writer.transport.abort()
 
 
 def release(session: str, cause: int) -> bytes:
+    """A node's TEARDOWN request for a session."""
     return rtsp.request("TEARDOWN", "x", session, 2, Reason=f"cause={cause}")
 
 
 class Node:
-    """A playout node. `does` says what becomes of set-ups: serve, short, silent, break, twice, ahead, names
-    of REFUSE and SPOILT, or a list of such names that is used up, its last for good.
+    """A playout node.
+
+    `behaviour` names what it does with a set-up:
+
+    - serve: it answers and plays.
+    - short: the session ends with its answer.
+    - silent: it does not answer.
+    - break: it resets the connection.
+    - twice: it sends its answer twice.
+    - ahead: it sends an answer for an unknown session first.
+    - a name of `REFUSAL_STATUSES` or `INVALID_ANSWERS`.
+
+    A list of such names applies one name to each set-up, the last one to all further set-ups.
     """
 
-    def __init__(self, platform: "Platform", name: str, does="serve") -> None:
-        self.platform, self.name, self.does = platform, name, does
-        self.server, self.port, self.lines = None, 0, {}
-        self.standing: dict[str, object] = {}
-        self.untold: dict[str, int] = {}  # ends that nobody has heard: told again on the next connection
-        self.out: dict[str, object] = {}
-        self.came: dict[str, object] = {}  # session -> the connection of its latest set-up
-        self.report, self.hears = "cpu:0.25;x1:0.5", True  # hears: it says of a TEARDOWN that it heard it
+    def __init__(self, platform: "Platform", name: str, behaviour: str | list[str] = "serve") -> None:
+        self.platform = platform
+        self.name = name
+        self.behaviour = behaviour
+        self.server = None
+        self.port = 0
+        self.connections = {}  # writers of the open connections, in the order of opening
+        self.sessions: dict[str, object] = {}  # running session -> its connection
+        self.unacknowledged_ends: dict[str, int] = {}  # session -> cause; repeated on the next connection
+        self.pending: dict[str, object] = {}  # session whose set-up has no answer -> its connection
+        self.setup_connections: dict[str, object] = {}  # session -> the connection of its latest set-up
+        self.report = "cpu:0.25;x1:0.5"
+        self.acknowledges = True  # whether it answers a TEARDOWN
 
     async def start(self, port: int = 0) -> None:
+        """Listen on loopback; port 0 takes any free port."""
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", port)
         self.port = self.server.sockets[0].getsockname()[1]
 
-    def say(self, what: str, session: str, value="") -> None:
-        self.platform.saw(self.name, what, session, value)
+    def record(self, what: str, session: str, value="") -> None:
+        """Add an entry to the platform's traffic record."""
+        self.platform.record(self.name, what, session, value)
 
-    def turn(self) -> str:
-        if isinstance(self.does, str):
-            return self.does
-        return self.does.pop(0) if len(self.does) > 1 else self.does[0]
+    def next_behaviour(self) -> str:
+        """The behaviour for the next set-up."""
+        if isinstance(self.behaviour, str):
+            return self.behaviour
+        return self.behaviour.pop(0) if len(self.behaviour) > 1 else self.behaviour[0]
 
     async def serve(self, reader, writer) -> None:
+        """Handle a connection until it closes; its set-ups without an answer then count as given up."""
         codec = rtsp.Reader()
-        self.lines[writer] = None
-        self.say("connected", "")
-        for session, cause in self.untold.items():
+        self.connections[writer] = None
+        self.record("connected", "")
+        for session, cause in self.unacknowledged_ends.items():
             writer.write(release(session, cause))
         try:
-            while piece := await reader.read(65536):
-                for message in codec.feed(piece):
-                    self.take(writer, message)
+            while data := await reader.read(READ_BYTES):
+                for message in codec.feed(data):
+                    self.handle(writer, message)
                 assert not codec.error, codec.error
         except ConnectionError:
             pass
         finally:
-            self.lines.pop(writer, None)
-            for session in [s for s, line in self.out.items() if line is writer]:
-                del self.out[session]
-                self.say("given up", session)
+            self.connections.pop(writer, None)
+            for session in [s for s, connection in self.pending.items() if connection is writer]:
+                del self.pending[session]
+                self.record("given up", session)
             writer.close()
 
-    def take(self, writer, message) -> None:
+    def handle(self, writer, message) -> None:
+        """Handle one message from the relay."""
         session = message.session
         if message.method == "SETUP":
-            self.say("set-up", session, (message.fields["subject"], int(message.fields.get("x-rung", 0))))
-            self.out[session] = self.came[session] = writer
-            self.do(self.turn(), writer, session, message.body)
+            self.record("set-up", session, (message.fields["subject"], int(message.fields.get("x-rung", 0))))
+            self.pending[session] = self.setup_connections[session] = writer
+            self.apply_behaviour(self.next_behaviour(), writer, session, message.body)
         elif message.method == "TEARDOWN":
             cut = "reason" in message.fields
-            self.say("cut" if cut else "given up", session, message.cause())
-            self.out.pop(session, None)
-            self.standing.pop(session, None)
-            if self.hears:
+            self.record("cut" if cut else "given up", session, message.cause())
+            self.pending.pop(session, None)
+            self.sessions.pop(session, None)
+            if self.acknowledges:
                 writer.write(rtsp.response(200, "OK", message))
         elif not message.method:
-            self.untold.pop(session, None)
+            self.unacknowledged_ends.pop(session, None)
         elif message.method == "OPTIONS":
-            self.say("asked for load", session)
+            self.record("asked for load", session)
             writer.write(self.answer(200, session, b"", 3, f"X-State: {self.report}\r\n"))
         elif message.method == "SET_PARAMETER":
-            self.say("rung", session, int(message.fields["x-rung"]))
+            self.record("rung", session, int(message.fields["x-rung"]))
 
     def answer(
         self, status: int, session: str, body: bytes = b"", sequence: int = 1, more: str = ""
     ) -> bytes:
+        """An RTSP response; `more` holds further header lines."""
         return (
             f"RTSP/1.0 {status} So\r\nCSeq: {sequence}\r\nSession: {session}\r\n{more}"
             f"Content-Length: {len(body)}\r\n\r\n"
         ).encode() + body
 
-    def do(self, what: str, writer, session: str, body: bytes) -> None:
-        made = b"node %s made this for %s" % (self.name.encode(), session.encode())
-        if what in ("serve", "twice", "ahead"):
-            if what == "ahead":
+    def apply_behaviour(self, behaviour: str, writer, session: str, body: bytes) -> None:
+        """Answer a set-up as `behaviour` says, and record it."""
+        description = b"node %s made this for %s" % (self.name.encode(), session.encode())
+        if behaviour in ("serve", "twice", "ahead"):
+            if behaviour == "ahead":
                 writer.write(self.answer(200, "f" * 16, b"for nobody"))
-            writer.write(self.answer(200, session, made) * (2 if what == "twice" else 1))
-            self.out.pop(session, None)
-            self.standing[session] = writer
-            self.say("answered", session, made)
-        elif what == "short":  # so short that its end comes with its answer
-            writer.write(rtsp.request("TEARDOWN", "x", session, 2, made, Reason="cause=16"))
-            self.out.pop(session, None)
-            self.say("answered", session, made)
-            self.say("ended", session, 16)
-        elif what in REFUSE:
-            writer.write(self.answer(REFUSE[what], session))
-            self.out.pop(session, None)
-            self.say("refused", session, what)
-        elif what in SPOILT:
-            text = SPOILT[what]
+            writer.write(self.answer(200, session, description) * (2 if behaviour == "twice" else 1))
+            self.pending.pop(session, None)
+            self.sessions[session] = writer
+            self.record("answered", session, description)
+        elif behaviour == "short":  # the session is so short that a TEARDOWN is its answer, too
+            writer.write(rtsp.request("TEARDOWN", "x", session, 2, description, Reason="cause=16"))
+            self.pending.pop(session, None)
+            self.record("answered", session, description)
+            self.record("ended", session, 16)
+        elif behaviour in REFUSAL_STATUSES:
+            writer.write(self.answer(REFUSAL_STATUSES[behaviour], session))
+            self.pending.pop(session, None)
+            self.record("refused", session, behaviour)
+        elif behaviour in INVALID_ANSWERS:
+            text = INVALID_ANSWERS[behaviour]
             writer.write(text % session.encode() if b"%s" in text else text)
-            self.say("spoilt", session, what)
-        elif what == "break":
-            self.out.pop(session, None)
-            self.say("given up", session)
+            self.record("spoilt", session, behaviour)
+        elif behaviour == "break":
+            self.pending.pop(session, None)
+            self.record("given up", session)
             abort(writer)
 
-    def cross(self, session: str) -> None:
-        """Answer a set-up late, on its own connection, as if it had crossed its TEARDOWN."""
-        writer = self.came[session]
+    def answer_late(self, session: str) -> None:
+        """Answer a set-up late, on its own connection, as if the answer had crossed the set-up's TEARDOWN."""
+        writer = self.setup_connections[session]
         writer.write(self.answer(200, session, b"too late"))
-        self.standing[session] = writer
-        self.say("answered", session, b"too late")
+        self.sessions[session] = writer
+        self.record("answered", session, b"too late")
 
     def end(self, session: str, cause: int) -> None:
-        """A session comes to its end here."""
-        line, self.untold[session] = self.standing.pop(session), cause
-        self.say("ended", session, cause)
-        usable = self.usable_lines()
-        for writer in [line] if line in usable else usable[:1]:
+        """End a running session and report it, on the connection of its set-up if that is still open."""
+        connection, self.unacknowledged_ends[session] = self.sessions.pop(session), cause
+        self.record("ended", session, cause)
+        writable = self.writable_connections()
+        for writer in [connection] if connection in writable else writable[:1]:
             writer.write(release(session, cause))
 
-    def usable_lines(self) -> list:
-        """Connections that can be written to; one whose transport has closed stays in `lines` until `serve`
-        has read its end, and uvloop raises RuntimeError on a write to it."""
-        return [writer for writer in self.lines if not writer.is_closing()]
+    def writable_connections(self) -> list:
+        """Connections that can be written to.
+
+        One whose transport has closed stays in `connections` until `serve` has read its end, and uvloop
+        raises RuntimeError on a write to it.
+        """
+        return [writer for writer in self.connections if not writer.is_closing()]
 
-    def note(self, session: str, kind: str, value: float) -> None:
-        told = rtsp.request("ANNOUNCE", "x", session, 4, X_Note=kind, X_Value=str(value))
-        self.standing[session].write(told)
+    def send_note(self, session: str, kind: str, value: float) -> None:
+        """Send a note about a running session."""
+        note = rtsp.request("ANNOUNCE", "x", session, 4, X_Note=kind, X_Value=str(value))
+        self.sessions[session].write(note)
 
     def reset(self) -> None:
-        """Every connection is reset; what stands goes on."""
-        for writer in list(self.lines):
+        """Reset every connection; running sessions go on."""
+        for writer in list(self.connections):
             abort(writer)
 
     async def die(self) -> None:
+        """Stop as a killed process does: all sessions end unreported, all connections are reset."""
         self.server.close()
-        for session in list(self.standing):
-            self.say("ended", session, 41)
-        self.standing.clear()
+        for session in list(self.sessions):
+            self.record("ended", session, 41)
+        self.sessions.clear()
         self.reset()
 
     def close(self) -> None:
+        """Stop listening and close every connection."""
         self.server.close()
-        for writer in list(self.lines):
+        for writer in list(self.connections):
             writer.close()
 
 
 class Channel:
-    """The command channel. `held`: it takes calls and says nothing."""
+    """The command channel, a stream of server-sent events. While `silent`, it accepts requests unanswered."""
 
     def __init__(self) -> None:
-        self.events: list[tuple[int, str]] = []
-        self.lines, self.calls, self.held, self.server = [], [], False, None
-        self.when = lambda: None  # called as each call comes
+        self.events: list[tuple[int, str]] = []  # (number, data)
+        self.connections = []
+        self.requests = []  # the Last-Event-ID of each request
+        self.silent = False
+        self.server = None
+        self.on_request = lambda: None
 
     async def start(self, port: int = 0) -> None:
+        """Listen on loopback; port 0 takes any free port."""
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", port)
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def serve(self, reader, writer) -> None:
+        """Answer a request with every event after its Last-Event-ID, and keep the stream open."""
         head = await reader.readuntil(b"\r\n\r\n")
         fields = dict(line.lower().split(": ", 1) for line in head.decode().split("\r\n")[1:] if line)
         last = int(fields["last-event-id"])
-        self.calls.append(last)
-        self.when()
-        if not self.held:
+        self.requests.append(last)
+        self.on_request()
+        if not self.silent:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: here\n\n")
             for number, data in self.events:
                 if number > last:
                     writer.write(self.event(number, data))
-        self.lines.append(writer)
+        self.connections.append(writer)
 
     @staticmethod
     def event(number: int, data: str) -> bytes:
+        """An event as it is sent."""
         return f"id: {number}\ndata: {data}\n\n".encode()
 
-    def tell(
+    def send_event(
         self,
         number: int,
         members: list[dict],
         complete: bool = False,
-        torn: int = 0,
+        truncate_at: int = 0,
         twice: bool = False,
         raw: str = "",
     ) -> None:
-        """An event to all who listen; `torn`: only so many bytes of it, and then the end; `raw`: this as its
-        data.
+        """Send an event on every open stream.
+
+        `truncate_at`: send only so many bytes of it and close the streams. `raw`: its data, in place of
+        `members`.
         """
         data = raw or json.dumps({"cursor": number, "nodes": {"complete": complete, "members": members}})
         self.events.append((number, data))
         raw = self.event(number, data) * (2 if twice else 1)
-        for writer in self.lines:
-            if not writer.is_closing():  # a front that has hung up, or died
-                writer.write(raw[:torn] if torn else raw)
-        if torn:
-            self.hang_up()
-
-    def hang_up(self) -> None:
-        lines, self.lines = self.lines, []
-        for writer in lines:
+        for writer in self.connections:
+            if not writer.is_closing():  # it is closing if the front has closed it, or died
+                writer.write(raw[:truncate_at] if truncate_at else raw)
+        if truncate_at:
+            self.close_connections()
+
+    def close_connections(self) -> None:
+        """Close every open stream; new requests are accepted."""
+        connections, self.connections = self.connections, []
+        for writer in connections:
             writer.close()
 
     def close(self) -> None:
+        """Stop listening and close every stream."""
         if self.server is not None:
             self.server.close()
-        self.hang_up()
+        self.close_connections()
 
 
 class Link:
-    """One front's way to a node or to the channel: carried byte by byte, with the faults of `links.Trouble`
-    for each direction, `there` and `back`. What it leads to may change (`behind`, a port; 0: nobody).
+    """A TCP proxy on a front's way to a node or to the channel, with faults for each direction.
+
+    `destination_port` may change; 0: nothing listens there.
     """
 
-    def __init__(self, behind: int) -> None:
-        self.behind, self.there, self.back, self.server, self.port = behind, Trouble(), Trouble(), None, 0
+    def __init__(self, destination_port: int) -> None:
+        self.destination_port = destination_port
+        self.request_faults = LinkFaults()
+        self.response_faults = LinkFaults()
+        self.server = None
+        self.port = 0
 
     async def start(self) -> None:
+        """Listen on a free port of loopback."""
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(self.carry, "127.0.0.1", 0)
+        self.server = await loop.create_server(self.proxy, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
 
-    def carry(self) -> End:
+    def proxy(self) -> FlowEndpoint:
+        """The protocol of an accepted connection, which is proxied to the destination."""
         loop = asyncio.get_running_loop()
-        there, back = Way(loop, self.there, nobody, nobody), Way(loop, self.back, nobody, nobody)
-        loop.create_task(self.join(there, back))
-        return End(there, back)
+        request = Flow(loop, self.request_faults, ignore_data, ignore_data)
+        response = Flow(loop, self.response_faults, ignore_data, ignore_data)
+        loop.create_task(self.connect(request, response))
+        return FlowEndpoint(request, response)
 
-    async def join(self, there: Way, back: Way) -> None:
+    async def connect(self, request: Flow, response: Flow) -> None:
+        """Connect to the destination; reset the front's side if that fails."""
         loop = asyncio.get_running_loop()
         try:
-            await loop.create_connection(lambda: End(back, there), "127.0.0.1", self.behind)
+            await loop.create_connection(
+                lambda: FlowEndpoint(response, request), "127.0.0.1", self.destination_port
+            )
         except OSError:
-            reset(there.source)  # nobody is there: the front sees a reset, which proves nothing
+            reset(request.source)  # unlike a refused connection, a reset doesn't prove that the node is down
 
     def close(self) -> None:
+        """Stop listening; open connections stay."""
         if self.server is not None:
             self.server.close()
 
 
-ENDINGS = (messages.ANSWER, messages.RELEASE, messages.MOVE)
+FINAL_KINDS = (messages.ANSWER, messages.RELEASE, messages.MOVE)
+READ_BYTES = 65536
 
 
 class Viewer:
-    """A connection from viewers; `said` holds what came for each session, in order."""
+    """A connection to the relay that carries the sessions of many viewers.
+
+    `received` holds the messages for each session, in order.
+    """
 
     def __init__(self, platform: "Platform", reader, writer) -> None:
-        self.platform, self.reader, self.writer, self.codec = platform, reader, writer, messages.Reader()
-        self.said: dict[str, list[messages.Message]] = {}
-        self.change, self.closed, self.closed_at = asyncio.Condition(), False, 0.0
+        self.platform = platform
+        self.reader = reader
+        self.writer = writer
+        self.codec = messages.Reader()
+        self.received: dict[str, list[messages.Message]] = {}
+        self.change = asyncio.Condition()  # notified of each message and of the close
+        self.closed = False
+        self.closed_at = 0.0  # monotonic time in seconds
         self.task = asyncio.get_running_loop().create_task(self.listen())
 
     async def listen(self) -> None:
+        """Read messages until the connection closes."""
         try:
-            while piece := await self.reader.read(65536):
+            while data := await self.reader.read(READ_BYTES):
                 async with self.change:
-                    for message in self.codec.feed(piece):
-                        self.said.setdefault(message.session, []).append(message)
-                        self.platform.saw("viewer", message.kind, message.session, message.fields)
+                    for message in self.codec.feed(data):
+                        self.received.setdefault(message.session, []).append(message)
+                        self.platform.record("viewer", message.kind, message.session, message.fields)
                         if message.kind == messages.MOVE:
-                            self.platform.moved(message.session)
+                            self.platform.end_moved(message.session)
                     self.change.notify_all()
         except ConnectionError:
             pass
@@ -305,24 +369,26 @@
             self.change.notify_all()
 
     def writable(self) -> bool:
-        """Whether the connection still takes bytes: its transport closes before `listen` has set `closed`."""
+        """Whether the connection can be written to: its transport closes before `listen` sets `closed`."""
         return not self.closed and not self.writer.is_closing()
 
     def send(self, raw: bytes) -> None:
+        """Send bytes as they are."""
         self.writer.write(raw)
 
-    def ask(
+    def request_play(
         self,
         session: str = "",
         product: str = "cheap",
         patience: str = "3000",
         title: str = "00000000000000aa",
-        **figures,
+        **attributes,
     ) -> str:
-        session = session or self.platform.name()
-        figures = {"home": 0, "copies": 4, "top": 3, "viewer": session} | figures
-        text = ";".join(f"{key}:{value}" for key, value in figures.items())
-        self.platform.saw("viewer", "set-up", session, figures.get("at", ""))
+        """Send a set-up and return its session, by default a new one; `patience` is its time limit in ms."""
+        session = session or self.platform.new_session()
+        attributes = {"home": 0, "copies": 4, "top": 3, "viewer": session} | attributes
+        text = ";".join(f"{key}:{value}" for key, value in attributes.items())
+        self.platform.record("viewer", "set-up", session, attributes.get("at", ""))
         self.send(
             messages.encode(
                 messages.SET_UP,
@@ -337,51 +403,65 @@
         return session
 
     def release(self, session: str, cause: int = 16) -> None:
-        self.platform.saw("viewer", "release", session, cause)
+        """Send the viewer's end of a session."""
+        self.platform.record("viewer", "release", session, cause)
         self.send(messages.encode(messages.RELEASE, session, cause=bytes((cause,))))
 
-    async def hear(self, session: str, count: int = 1, kinds=ENDINGS):
-        """The `count`-th message of these kinds for a session."""
+    async def wait_for_message(self, session: str, count: int = 1, kinds=FINAL_KINDS):
+        """Wait for the `count`-th message of these kinds for a session; IndexError on a close."""
         async with self.change:
-            await self.change.wait_for(lambda: self.closed or len(self.of(session, kinds)) >= count)
-        return self.of(session, kinds)[count - 1]
+            await self.change.wait_for(lambda: self.closed or len(self.messages_of(session, kinds)) >= count)
+        return self.messages_of(session, kinds)[count - 1]
 
-    def of(self, session: str, kinds) -> list[messages.Message]:
-        return [m for m in self.said.get(session, ()) if m.kind in kinds]
+    def messages_of(self, session: str, kinds) -> list[messages.Message]:
+        """The messages of these kinds for a session so far."""
+        return [m for m in self.received.get(session, ()) if m.kind in kinds]
 
-    async def gone(self) -> bool:
-        """Wait until the other side has closed."""
+    async def wait_closed(self) -> bool:
+        """Wait until the relay has closed the connection."""
         async with self.change:
             await self.change.wait_for(lambda: self.closed)
         return True
 
     def close(self) -> None:
+        """Close the connection."""
         self.writer.close()
 
 
 class Platform:
-    """Nodes by name, a channel, viewers, and what was seen to pass."""
+    """Nodes by name, a channel, viewers, and the record of their traffic.
+
+    `ends_moved`: whether a node ends a session once its viewer is told to move.
+    """
 
     def __init__(self) -> None:
         self.nodes: dict[str, Node] = {}
-        self.channel, self.seen, self.viewers = Channel(), [], []
-        self.names, self.ends_moved = itertools.count(1), True
-
-    def name(self) -> str:
-        return f"{next(self.names):016x}"
-
-    def saw(self, side: str, what, session: str, value="") -> None:
-        self.seen.append((side, what, session, value))
-
-    def of(self, what, session: str | None = None) -> list[tuple]:
-        return [row for row in self.seen if row[1] == what and session in (None, row[2])]
-
-    async def add(self, name: str, does="serve", port: int = 0) -> Node:
-        node = self.nodes[name] = Node(self, name, does)
+        self.channel = Channel()
+        self.traffic: list[tuple] = []  # (side, what, session, value)
+        self.viewers = []
+        self.session_numbers = itertools.count(1)
+        self.ends_moved = True
+
+    def new_session(self) -> str:
+        """A session id that has not been used yet."""
+        return f"{next(self.session_numbers):016x}"
+
+    def record(self, side: str, what, session: str, value="") -> None:
+        """Add an entry to the traffic record."""
+        self.traffic.append((side, what, session, value))
+
+    def records_of(self, what, session: str | None = None) -> list[tuple]:
+        """Entries of a kind in the traffic record, of one session or of all."""
+        return [row for row in self.traffic if row[1] == what and session in (None, row[2])]
+
+    async def add(self, name: str, behaviour="serve", port: int = 0) -> Node:
+        """Add a node and start it."""
+        node = self.nodes[name] = Node(self, name, behaviour)
         await node.start(port)
         return node
 
     def member(self, name: str, state: str = "ready", since: int = 0, **more) -> dict:
+        """A node's entry in an event of the channel; `since` is its start in ms."""
         return {
             "id": name,
             "host_port": f"127.0.0.1:{self.nodes[name].port}",
@@ -393,47 +473,52 @@
             "up_since_ms": since,
         } | more
 
-    def moved(self, session: str) -> None:
-        """A viewer was told to come again: its session ends at its node, unless that was told before."""
+    def end_moved(self, session: str) -> None:
+        """End a session whose viewer was told to move at its node, unless it has ended there already."""
         for node in self.nodes.values():
-            if self.ends_moved and session in node.standing:
+            if self.ends_moved and session in node.sessions:
                 node.end(session, 31)
 
     async def viewer(self, port: int) -> Viewer:
+        """Open a viewers' connection to the relay on `port`."""
         viewer = Viewer(self, *await asyncio.open_connection("127.0.0.1", port))
         self.viewers.append(viewer)
         return viewer
 
     def close(self) -> None:
+        """Close all connections and stop listening."""
         for part in (*self.nodes.values(), self.channel, *self.viewers):
             part.close()
 
-    # ---- judged from what passed alone
+    # ---- checks on the traffic record
 
-    def standing(self) -> dict[str, str]:
-        """Sessions that stand, with their nodes: answered or adopted, neither ended, cut nor given up."""
-        found: dict[str, str] = {}
-        for side, what, session, value in self.seen:
+    def running_sessions(self) -> dict[str, str]:
+        """Running sessions with their nodes: answered or adopted, and neither ended, cut nor given up."""
+        running: dict[str, str] = {}
+        for side, what, session, value in self.traffic:
             if what == "answered":
-                found[session] = side
+                running[session] = side
             elif side == "viewer" and what == "set-up" and value:
-                found[session] = value
-            elif what in ("ended", "cut", "given up") and found.get(session) == side:
-                del found[session]
-        return found
-
-    def broken(self) -> list[str]:
-        """Rules 1 and 2 as far as one front's traffic shows them: answers, set-ups out at one time."""
-        why, out, answers = [], {}, {}
-        for side, what, session, _ in self.seen:
+                running[session] = value
+            elif what in ("ended", "cut", "given up") and running.get(session) == side:
+                del running[session]
+        return running
+
+    def violations(self) -> list[str]:
+        """Violations of rules 1 and 2 as far as one front's traffic shows them.
+
+        A session must have one answer, and its set-up must not be out at two nodes at one time.
+        """
+        violations, pending, answers = [], {}, {}
+        for side, what, session, _ in self.traffic:
             if what == "set-up" and side != "viewer":
-                if session in out:
-                    why.append(f"{session} is out at {out[session]} and {side}")
-                out[session] = side
-            elif what in ("answered", "refused", "given up", "cut") and out.get(session) == side:
-                del out[session]
+                if session in pending:
+                    violations.append(f"{session} is out at {pending[session]} and {side}")
+                pending[session] = side
+            elif what in ("answered", "refused", "given up", "cut") and pending.get(session) == side:
+                del pending[session]
             elif what == messages.ANSWER or (what == messages.RELEASE and session not in answers):
                 answers[session] = answers.get(session, 0) + 1
                 if answers[session] > 1:
-                    why.append(f"{session} has a second answer")
-        return why
+                    violations.append(f"{session} has a second answer")
+        return violations
--- a/curlewhall/standins/relay.py
+++ b/curlewhall/standins/relay.py
@@ -1,82 +1,113 @@
-"""Carries datagrams between fronts, late and with losses as told. Each ordered pair has a socket of its own,
-so that a front still knows its peer by the address that its file names."""
+"""Relay for the datagrams between fronts, with delay, loss, duplication and reordering on command.
+
+Each ordered pair of fronts has a socket of its own, so that a front still sees its peer's datagrams come from
+the address in its settings.
+"""
 
 import asyncio
 from collections import defaultdict
 
-from .model import unit
+from .model import hash_fraction
 
-HELD = 0.05  # seconds for which a datagram is held back at most, so that later ones pass it
+MAX_DATAGRAM_BYTES = 256
+REORDER_DELAY_S = 0.05  # a reordered or repeated datagram is sent at most so much later
 
 
-class Leg(asyncio.DatagramProtocol):
-    """Where front `one` sends what is for front `other`."""
+class PairSocket(asyncio.DatagramProtocol):
+    """The socket to which front `source` sends the datagrams for front `target` (indices of fronts)."""
 
-    def __init__(self, relay: "Relay", one: int, other: int) -> None:
-        self.relay, self.one, self.other, self.transport = relay, one, other, None
+    def __init__(self, relay: "Relay", source: int, target: int) -> None:
+        self.relay = relay
+        self.source = source
+        self.target = target
+        self.transport = None
 
     def connection_made(self, transport) -> None:
         self.transport = transport
 
-    def datagram_received(self, data: bytes, source) -> None:
-        self.relay.carry(self.one, self.other, data)
+    def datagram_received(self, data: bytes, address) -> None:
+        self.relay.forward(self.source, self.target, data)
 
 
 class Relay:
-    """`legs` maps "one:other" to the address of that leg, `fronts` an index to a front's own address.
+    """Forwards datagrams between the fronts of a plan, with faults for each direction between two of them.
+
+    In `plan`, "legs" maps "source:target" (indices of fronts) to the address of that pair's socket, "fronts"
+    an index to the front's own address, and "late" is the range of the delay in seconds.
 
-    Each direction between two fronts can be told faults of its own: `cut`, `delay` in seconds, and as shares
-    of what passes `loss`, `repeat` (it comes twice) and `reorder` (held back, so that later ones pass it).
+    The faults of a direction are `cut`, `delay` (seconds), and as shares of its datagrams `loss`, `repeat`
+    (the datagram arrives twice) and `reorder` (it is delayed, so that later ones overtake it).
     """
 
     KINDS = ("cut", "delay", "loss", "repeat", "reorder")
 
     def __init__(self, loop, timers, plan: dict, records, names: list[str]) -> None:
-        self.loop, self.timers, self.plan, self.records, self.names = loop, timers, plan, records, names
-        self.legs: dict[tuple[int, int], Leg] = {}
-        self.loss, self.count = 0.0, 0
+        self.loop = loop
+        self.timers = timers
+        self.plan = plan
+        self.records = records
+        self.names = names
+        self.sockets: dict[tuple[int, int], PairSocket] = {}
+        self.loss = 0.0  # share of all datagrams that is lost, in every direction
+        self.count = 0  # datagrams so far; the seed of each datagram's delay and faults
         self.faults: dict[tuple[int, int], dict[str, float]] = defaultdict(
             lambda: dict.fromkeys(self.KINDS, 0.0)
         )
 
     async def start(self) -> None:
+        """Open the socket of every pair."""
         for pair, (address, port) in self.plan["legs"].items():
-            one, other = map(int, pair.split(":"))
-            leg = self.legs[one, other] = Leg(self, one, other)
-            await self.loop.create_datagram_endpoint(lambda leg=leg: leg, local_addr=(address, port))
+            source, target = map(int, pair.split(":"))
+            pair_socket = self.sockets[source, target] = PairSocket(self, source, target)
+            await self.loop.create_datagram_endpoint(
+                lambda pair_socket=pair_socket: pair_socket, local_addr=(address, port)
+            )
 
     def fault(self, kind: str, value: float) -> None:
-        """`loss`: the share of messages that is lost."""
+        """Set the share of datagrams that is lost in every direction; `kind` is only recorded."""
         self.records.write("peers", "fault", kind=kind, value=value)
         self.loss = value
 
-    def fault_between(self, one: str, other: str, kind: str, value: float) -> bool:
-        """Take or (value 0) end a fault of one direction; "*": every front. Whether there is any such leg."""
+    def fault_between(self, source: str, target: str, kind: str, value: float) -> bool:
+        """Start or (value 0) end a fault of one direction between two fronts, given by name.
+
+        "*" stands for every front. Returns whether the fault applies to any pair.
+        """
         found = [
             pair
-            for pair in self.legs
-            if one in ("*", self.names[pair[0]]) and other in ("*", self.names[pair[1]])
+            for pair in self.sockets
+            if source in ("*", self.names[pair[0]]) and target in ("*", self.names[pair[1]])
         ]
         for pair in found:
             self.faults[pair][kind] = value
         return bool(found)
 
-    def carry(self, one: int, other: int, data: bytes) -> None:
+    def forward(self, source: int, target: int, data: bytes) -> None:
+        """Pass a datagram on under the faults in force; one over `MAX_DATAGRAM_BYTES` is lost."""
         self.count += 1
-        faults, luck = self.faults[one, other], unit("loss", self.count)
-        lost = len(data) > 256 or faults["cut"] > 0 or luck < max(self.loss, faults["loss"])
-        self.records.write("peers", "message", one=one, other=other, size=len(data), lost=lost)
+        faults, loss_draw = self.faults[source, target], hash_fraction("loss", self.count)
+        lost = (
+            len(data) > MAX_DATAGRAM_BYTES or faults["cut"] > 0 or loss_draw < max(self.loss, faults["loss"])
+        )
+        self.records.write("peers", "message", one=source, other=target, size=len(data), lost=lost)
         if lost:
             return
         low, high = self.plan["late"]
-        span = faults["delay"] + low + (high - low) * unit("late", self.count)
-        if unit("reorder", self.count) < faults["reorder"]:
-            span += HELD * unit("held", self.count)
-        self.timers.after(span, self.deliver, one, other, data)
-        if unit("repeat", self.count) < faults["repeat"]:
-            self.timers.after(span + HELD * unit("again", self.count), self.deliver, one, other, data)
-
-    def deliver(self, one: int, other: int, data: bytes) -> None:
-        back = self.legs.get((other, one))
-        if back is not None and back.transport is not None:
-            back.transport.sendto(data, tuple(self.plan["fronts"][str(other)]))
+        delay = faults["delay"] + low + (high - low) * hash_fraction("late", self.count)
+        if hash_fraction("reorder", self.count) < faults["reorder"]:
+            delay += REORDER_DELAY_S * hash_fraction("held", self.count)
+        self.timers.after(delay, self.deliver, source, target, data)
+        if hash_fraction("repeat", self.count) < faults["repeat"]:
+            self.timers.after(
+                delay + REORDER_DELAY_S * hash_fraction("again", self.count),
+                self.deliver,
+                source,
+                target,
+                data,
+            )
+
+    def deliver(self, source: int, target: int, data: bytes) -> None:
+        """Send a datagram to its target from the socket to which the target sends its own for the source."""
+        reverse = self.sockets.get((target, source))
+        if reverse is not None and reverse.transport is not None:
+            reverse.transport.sendto(data, tuple(self.plan["fronts"][str(target)]))
--- a/tests/front/test_front.py
+++ b/tests/front/test_front.py
@@ -228,10 +228,10 @@
 @pytest.fixture
 def held_hellos(monkeypatch):
     """Streams that are requested from now on; their hellos are held back until `release`."""
-    found, stream = [], Node.stream
+    found, stream = [], Node.open_stream
     monkeypatch.setattr(
         Node,
-        "stream",
+        "open_stream",
         lambda self, exchange, front: (found.append(HeldStream(exchange)), stream(self, found[-1], front)),
     )
     return found
--- a/tests/relay/deployment.py
+++ b/tests/relay/deployment.py
@@ -12,7 +12,7 @@
 from curlewhall.relay import nodes, start_settings
 from curlewhall.relay.null_objects import Log
 from curlewhall.relay.serve import Relay
-from curlewhall.standins.platform import RST, Platform
+from curlewhall.standins.platform import LINGER_RESET, Platform
 
 RESERVED_PORTS = []  # sockets, bound for as long as the tests run
 
@@ -61,8 +61,8 @@
             socket.IPPROTO_TCP, socket.TCP_NODELAY, 1
         )  # otherwise a small piece waits for an ACK
 
-    def ask(self, session="", product="cheap", patience="3000", **attributes):
-        session = session or self.env.platform.name()
+    def request_play(self, session="", product="cheap", patience="3000", **attributes):
+        session = session or self.env.platform.new_session()
         self.send(set_up(session, product, patience, **attributes))
         return session
 
@@ -77,7 +77,7 @@
             self.sock.shutdown(socket.SHUT_WR)
             return
         if how == "reset":
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RST)
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         self.sock.close()
 
     def closed(self):
@@ -115,10 +115,10 @@
 
 
 class RelayWrites:
-    """Records in `platform.seen` what the relay writes to its nodes, in the order in which it writes."""
+    """Records in `platform.traffic` what the relay writes to its nodes, in the order in which it writes."""
 
     def __init__(self, env):
-        self.seen, self.nodes = env.platform.seen, env.relay.nodes
+        self.traffic, self.nodes = env.platform.traffic, env.relay.nodes
         self.send_set_up = self.nodes.send_set_up
         self.note_teardown = self.nodes.note_teardown
         self.ended = self.nodes.ended
@@ -129,25 +129,25 @@
     def record_set_up(self, set_up, connection):
         self.send_set_up(set_up, connection)
         if set_up.state == nodes.SENT:
-            self.seen.append(("relay", "sent", set_up.play, (connection.node.id, id(connection))))
+            self.traffic.append(("relay", "sent", set_up.play, (connection.node.id, id(connection))))
 
     def record_teardown(self, node, play, sent):
         if sent:
-            self.seen.append(("relay", "torn down", play, node.id))
+            self.traffic.append(("relay", "torn down", play, node.id))
         self.note_teardown(node, play, sent)
 
     def record_close(self, transport, why):
-        self.seen.append(("relay", "closed", "", id(self.nodes.connections.get(transport))))
+        self.traffic.append(("relay", "closed", "", id(self.nodes.connections.get(transport))))
         self.ended(transport, why)
 
     def overlapping(self):
-        return overlapping(self.seen)
+        return overlapping(self.traffic)
 
 
-def overlapping(seen):
+def overlapping(traffic):
     """Sessions that the relay sent to a node while an earlier set-up of theirs was open at another."""
     out, wrong = {}, []
-    for side, what, session, value in seen:
+    for side, what, session, value in traffic:
         node, connection = out.get(session, ("", 0))
         if what == "sent":
             if node:
@@ -161,10 +161,10 @@
 
 
 class Deployment:
-    """`relay` on `port`, and `platform` around it. `does`: how nodes answer. `clock`: see `advance`."""
+    """`relay` on `port`, and `platform` around it. `behaviour`: how nodes answer. `clock`: see `advance`."""
 
-    def __init__(self, nodes=("n0", "n1", "n2", "n3"), does="serve", clock=None, **changes):
-        self.platform, self.changes, self.does, self.names = Platform(), changes, does, nodes
+    def __init__(self, nodes=("n0", "n1", "n2", "n3"), behaviour="serve", clock=None, **changes):
+        self.platform, self.changes, self.behaviour, self.names = Platform(), changes, behaviour, nodes
         self.log_lines, self.clock = [], clock
 
     def config(self, port, sockets=256):
@@ -181,7 +181,7 @@
 
     async def start(self, tmp_path, sockets=256):
         for name in self.names:
-            await self.platform.add(name, self.does)
+            await self.platform.add(name, self.behaviour)
         await self.platform.channel.start()
         self.port, self.file = free_port(), tmp_path / "config.json"
         self.file.write_text(json.dumps(self.config(self.port, sockets)))
@@ -227,7 +227,7 @@
 
     def sent(self, session=None):
         """Set-ups received by nodes, as (node, session)."""
-        return [(row[0], row[2]) for row in self.platform.of("set-up", session) if row[0] != "viewer"]
+        return [(row[0], row[2]) for row in self.platform.records_of("set-up", session) if row[0] != "viewer"]
 
     def close(self):
         self.relay.close()
--- a/tests/relay/test_channel.py
+++ b/tests/relay/test_channel.py
@@ -106,18 +106,20 @@
     async with deployment(tmp_path, nodes=("n0", "n1")) as env:
         platform, relay = env.platform, env.relay
         states = relay.driver.module.nodes
-        await env.wait_until(lambda: platform.channel.lines)
-        assert platform.channel.calls == [1]
-        platform.channel.tell(2, [platform.member("n0", "draining")], twice=True)
+        await env.wait_until(lambda: platform.channel.connections)
+        assert platform.channel.requests == [1]
+        platform.channel.send_event(2, [platform.member("n0", "draining")], twice=True)
         await env.wait_until(lambda: states["n0"].row.state == "draining")
-        platform.channel.tell(3, [platform.member("n1", "draining")], torn=40)
+        platform.channel.send_event(3, [platform.member("n1", "draining")], truncate_at=40)
         await env.wait_until(lambda: states["n1"].row.state == "draining")
-        assert platform.channel.calls == [1, 2]  # requested again after the last complete one
-        platform.channel.tell(7, [platform.member("n0")])  # missing events: requested once more, then applied
+        assert platform.channel.requests == [1, 2]  # requested again after the last complete one
+        platform.channel.send_event(
+            7, [platform.member("n0")]
+        )  # missing events: requested once more, then applied
         await env.wait_until(lambda: states["n0"].row.state == "serving")
-        assert platform.channel.calls == [1, 2, 3] and relay.channel.cursor == 7
+        assert platform.channel.requests == [1, 2, 3] and relay.channel.cursor == 7
         await platform.add("n2")
-        platform.channel.tell(8, [platform.member(n) for n in ("n1", "n2")], complete=True)
+        platform.channel.send_event(8, [platform.member(n) for n in ("n1", "n2")], complete=True)
         await env.wait_until(lambda: states["n0"].row.state == "gone")
         assert states["n1"].row.state == states["n2"].row.state == "serving"
 
@@ -127,10 +129,10 @@
     monkeypatch.setattr(decide, "STREAM_SILENCE_S", 0.1)
     monkeypatch.setattr(decide, "FIRST_EVENT_S", 0.1)
     async with deployment(tmp_path, nodes=("n0",)) as env:
-        env.platform.channel.held = True
-        await env.wait_until(lambda: len(env.platform.channel.calls) >= 3)
-        env.platform.channel.held = False
-        env.platform.channel.tell(2, [env.platform.member("n0", "draining")])
+        env.platform.channel.silent = True
+        await env.wait_until(lambda: len(env.platform.channel.requests) >= 3)
+        env.platform.channel.silent = False
+        env.platform.channel.send_event(2, [env.platform.member("n0", "draining")])
         await env.wait_until(lambda: env.relay.driver.module.nodes["n0"].row.state == "draining")
 
 
@@ -140,8 +142,8 @@
         monkeypatch.setenv("RELAY_CONFIG", str(env.file))
         monkeypatch.setenv("RELAY_LISTEN", f"127.0.0.1:{env.port}")
         viewer = await env.platform.viewer(env.port)
-        session = viewer.ask()
-        await viewer.hear(session)
+        session = viewer.request_play()
+        await viewer.wait_for_message(session)
         env.file.write_text("{")
         env.relay.reload()
         assert "new configuration is not used" in "".join(env.log_lines)
@@ -150,9 +152,9 @@
         env.file.write_text(json.dumps(env.config(env.port)))
         env.relay.reload()
         old.close()
-        env.platform.channel.tell(2, [env.platform.member("n0", "draining")])
+        env.platform.channel.send_event(2, [env.platform.member("n0", "draining")])
         await env.wait_until(lambda: env.relay.driver.module.nodes["n0"].row.state == "draining")
-        assert env.platform.channel.calls[0] == 1 and session in env.relay.driver.plays
+        assert env.platform.channel.requests[0] == 1 and session in env.relay.driver.plays
 
 
 INVALID_EVENTS = {
@@ -171,29 +173,29 @@
     async with deployment(tmp_path, nodes=("n0", "n1")) as env:
         platform, relay = env.platform, env.relay
         states = relay.driver.module.nodes
-        await env.wait_until(lambda: platform.channel.lines)
-        platform.channel.tell(2, [platform.member("n0", "draining")], raw=INVALID_EVENTS[invalid])
-        platform.channel.tell(3, [platform.member("n1", "draining")])
+        await env.wait_until(lambda: platform.channel.connections)
+        platform.channel.send_event(2, [platform.member("n0", "draining")], raw=INVALID_EVENTS[invalid])
+        platform.channel.send_event(3, [platform.member("n1", "draining")])
         await env.wait_until(lambda: states["n1"].row.state == "draining")
-        assert platform.channel.calls == [1, 1] and relay.channel.cursor == 3
-        platform.channel.tell(4, [platform.member("n1")])
+        assert platform.channel.requests == [1, 1] and relay.channel.cursor == 3
+        platform.channel.send_event(4, [platform.member("n1")])
         await env.wait_until(lambda: states["n1"].row.state == "serving")
-        assert platform.channel.calls == [1, 1] and not relay.driver.counts["faults"]
+        assert platform.channel.requests == [1, 1] and not relay.driver.counts["faults"]
 
 
 @looped
 async def test_valid_event_before_an_invalid_one_in_the_same_piece_is_applied(tmp_path):
     async with deployment(tmp_path, nodes=("n0",)) as env:
         platform, relay = env.platform, env.relay
-        await env.wait_until(lambda: platform.channel.lines)
-        platform.channel.held = True  # it sends nothing after a reconnect
+        await env.wait_until(lambda: platform.channel.connections)
+        platform.channel.silent = True  # it sends nothing after a reconnect
         whole = platform.channel.event(
             2, json.dumps({"cursor": 2, "nodes": {"members": [platform.member("n0", "draining")]}})
         )
-        for writer in platform.channel.lines:
+        for writer in platform.channel.connections:
             writer.write(whole + b"id: 3\ndata: {\n\n")
-        await env.wait_until(lambda: len(platform.channel.calls) > 1)
-        assert platform.channel.calls == [1, 2]
+        await env.wait_until(lambda: len(platform.channel.requests) > 1)
+        assert platform.channel.requests == [1, 2]
         assert relay.driver.module.nodes["n0"].row.state == "draining"
 
 
@@ -206,12 +208,12 @@
     async with deployment(tmp_path, nodes=("n0", "n1")) as env:
         platform, relay = env.platform, env.relay
         states = relay.driver.module.nodes
-        await env.wait_until(lambda: platform.channel.lines)
+        await env.wait_until(lambda: platform.channel.connections)
         data = json.dumps({"cursor": names, "nodes": {"members": [platform.member("n0", "draining")]}})
-        platform.channel.tell(number, [], raw=data)
+        platform.channel.send_event(number, [], raw=data)
         await env.wait_until(lambda: states["n0"].row.state == "draining")
         platform.channel.events.clear()
-        platform.channel.tell(after, [platform.member("n1", "draining")])
+        platform.channel.send_event(after, [platform.member("n1", "draining")])
         await env.wait_until(lambda: states["n1"].row.state == "draining")
 
 
@@ -227,19 +229,19 @@
     """Two streams stay open and silent; the third one must carry the change before 4 s are over."""
     async with deployment(tmp_path, clock=clock, nodes=("n0",)) as env:
         platform, channel = env.platform, env.platform.channel
-        await env.wait_until(lambda: channel.lines)
-        began, channel.held = clock.now, True
+        await env.wait_until(lambda: channel.connections)
+        began, channel.silent = clock.now, True
         channel.events.append(
             (2, json.dumps({"cursor": 2, "nodes": {"members": [platform.member("n0", "draining")]}}))
         )
-        channel.when = lambda: setattr(channel, "held", len(channel.calls) < 3)
+        channel.on_request = lambda: setattr(channel, "silent", len(channel.requests) < 3)
         state, requests = env.relay.driver.module.nodes["n0"], count_requests(env.relay.channel)
-        while len(channel.calls) < 3:
+        while len(channel.requests) < 3:
             await env.advance(0.05)
-            await env.wait_until(lambda: len(channel.calls) == len(requests))
+            await env.wait_until(lambda: len(channel.requests) == len(requests))
             assert clock.now - began < 4.0
         await env.wait_until(lambda: state.row.state == "draining")
-        assert channel.calls == [1, 1, 1]
+        assert channel.requests == [1, 1, 1]
 
 
 @looped
@@ -248,12 +250,12 @@
     request_times = []
     async with deployment(tmp_path, clock=clock, nodes=("n0",)) as env:
         channel = env.platform.channel
-        await env.wait_until(lambda: channel.lines)
-        channel.held, requests = True, count_requests(env.relay.channel)
-        channel.when = lambda: request_times.append(clock.now)
+        await env.wait_until(lambda: channel.connections)
+        channel.silent, requests = True, count_requests(env.relay.channel)
+        channel.on_request = lambda: request_times.append(clock.now)
         for _ in range(200):
             await env.advance(0.05)
-            await env.wait_until(lambda: len(channel.calls) == len(requests))
+            await env.wait_until(lambda: len(channel.requests) == len(requests))
     gaps = [later - now for now, later in zip(request_times, request_times[1:], strict=False)]
     assert gaps[0] < 1.2 and min(gaps[1:]) >= decide.STREAM_SILENCE_S
 
@@ -263,26 +265,26 @@
     """One comes while no stream is open, the other is on the new channel before the front connects there."""
     async with deployment(tmp_path, clock=clock, nodes=("n0", "n1")) as env:
         platform, old = env.platform, env.platform.channel
-        await env.wait_until(lambda: old.lines)
+        await env.wait_until(lambda: old.connections)
         states = env.relay.driver.module.nodes
         requests = count_requests(env.relay.channel)
-        old.hang_up()
-        old.tell(2, [platform.member("n0", "draining")])  # no stream is open
+        old.close_connections()
+        old.send_event(2, [platform.member("n0", "draining")])  # no stream is open
         await env.wait_until(lambda: env.relay.channel.reconnect_timer)
         await env.advance(0.5)
         await env.wait_until(lambda: states["n0"].row.state == "draining")
-        old.held = True  # silent from here on
-        old.hang_up()
+        old.silent = True  # silent from here on
+        old.close_connections()
         await env.wait_until(lambda: env.relay.channel.stream.settled)
         await env.advance(0.5)
-        await env.wait_until(lambda: len(old.calls) == len(requests))
+        await env.wait_until(lambda: len(old.requests) == len(requests))
         new = platform.channel = Channel()
         await new.start()
-        new.tell(3, [platform.member("n1", "draining")])
+        new.send_event(3, [platform.member("n1", "draining")])
         env.relay.channel.switch_to(("127.0.0.1", new.port))
         await env.advance(1.0)  # the whole span over which a fleet switches
         await env.wait_until(lambda: states["n1"].row.state == "draining")
-        assert new.calls == [2]
+        assert new.requests == [2]
         old.close()
 
 
@@ -292,7 +294,7 @@
     async with deployment(tmp_path, clock=clock, nodes=("n0",)) as env:
         monkeypatch.setenv("RELAY_CONFIG", str(env.file))
         monkeypatch.setenv("RELAY_LISTEN", f"127.0.0.1:{env.port}")
-        await env.wait_until(lambda: env.platform.channel.lines)
+        await env.wait_until(lambda: env.platform.channel.connections)
         text = json.dumps(env.config(env.port) | {"channel": "127.0.0.1:9"})
         for part in ("", text[: len(text) // 2]):
             env.file.write_text(part)
--- a/tests/relay/test_crossings.py
+++ b/tests/relay/test_crossings.py
@@ -57,7 +57,7 @@
 def prepare(client, state, env):
     """Bring a client's connection, on which a set-up is open, into a state."""
     if state == "other set-ups open":
-        client.ask()
+        client.request_play()
     elif state == "no set-ups accepted any more":
         client.send(b"\xff" * 100)
     elif state == "a set-up with another client's id":
@@ -93,9 +93,9 @@
     """The end lies in the socket, unread, as the connection comes up, as on a busy core."""
     async with deployment(tmp_path, nodes=("n0",)) as env:
         first, client = Client(env), Client(env)
-        other = first.ask()
+        other = first.request_play()
         await env.settle()
-        name = client.ask()
+        name = client.request_play()
         await env.settle()
         prepare(client, state, env)
         await env.settle()
@@ -112,18 +112,18 @@
 @looped
 async def test_viewer_gone_during_its_first_allocation_gets_no_second(tmp_path, clock, how, state):
     """Whatever else is open on its connection, or was received there."""
-    async with deployment(tmp_path, does="silent", clock=clock) as env:
+    async with deployment(tmp_path, behaviour="silent", clock=clock) as env:
         first, client = Client(env), Client(env)
-        first.ask(product="paid")
+        first.request_play(product="paid")
         await env.settle()
-        name = client.ask()
+        name = client.request_play()
         await env.settle()
         prepare(client, state, env)
         await env.settle()
         leave(client, how, name)
         await env.advance(3.2)
-        assert len(env.sent(name)) == 1 and env.platform.of("given up", name)
-        assert not env.relay.driver.plays and not env.platform.broken()
+        assert len(env.sent(name)) == 1 and env.platform.records_of("given up", name)
+        assert not env.relay.driver.plays and not env.platform.violations()
 
 
 @pytest.mark.parametrize(
@@ -144,9 +144,9 @@
     """
     async with deployment(tmp_path) as env:
         first, client = Client(env), Client(env)
-        served = [first.ask() for _ in range(3)]
+        served = [first.request_play() for _ in range(3)]
         await env.settle()
-        names, other = [client.ask() for _ in range(3)], set_up("e" * 16)
+        names, other = [client.request_play() for _ in range(3)], set_up("e" * 16)
         if how == "close":
             client.send({"": b"", "set-up": other, "half": other[:20]}[between])
             client.close()
@@ -167,7 +167,7 @@
     """One read takes 16 kB, and a peek shows bytes only."""
     async with deployment(tmp_path, nodes=("n0",)) as env:
         client = Client(env)
-        name = client.ask()
+        name = client.request_play()
         await env.settle()
         client.send(messages.encode(messages.HEALTH_CHECK, "0" * 16, cause=b"\0") * 4000)
         client.close()
@@ -182,12 +182,12 @@
     """Its end lies unread as the node's refusal is read. Connections to the other nodes are up, so that a
     further allocation could begin at once.
     """
-    async with deployment(tmp_path, does="silent") as env:
+    async with deployment(tmp_path, behaviour="silent") as env:
         client, nodes_side = Client(env), env.relay.nodes
         for node in nodes_side.nodes.values():
             nodes_side.open(node)
         await env.settle()
-        name = client.ask()
+        name = client.request_play()
         await env.settle()
         leave(client, how, name)
         (first,) = (node for node, session in env.sent() if session == name)
@@ -202,13 +202,13 @@
 @looped
 async def test_release_read_ahead_counts_though_its_connection_is_reset(tmp_path):
     """It is read as another set-up of its connection is retried, and then the connection is reset."""
-    async with deployment(tmp_path, does=["serve", "silent"]) as env:
+    async with deployment(tmp_path, behaviour=["serve", "silent"]) as env:
         client = Client(env)
-        stands = client.ask()
+        stands = client.request_play()
         await env.settle()
-        name = client.ask()
+        name = client.request_play()
         await env.settle()
-        assert env.platform.standing().keys() == {stands}
+        assert env.platform.running_sessions().keys() == {stands}
         (before, *_), (client_side,) = env.sent(name), env.relay.viewers.connections.values()
         client.release(stands)
         (set_up_out,) = [c for c in env.relay.nodes.connections.values() if name in c.set_ups]
@@ -217,8 +217,8 @@
         assert client_side.received and stands in env.relay.viewers.sessions
         client_side.transport.end("reset")
         await env.settle()
-        assert env.platform.of("cut", stands) and not env.platform.standing()
-        assert not env.relay.driver.plays and not env.platform.broken()
+        assert env.platform.records_of("cut", stands) and not env.platform.running_sessions()
+        assert not env.relay.driver.plays and not env.platform.violations()
         client.close()
 
 
@@ -226,17 +226,17 @@
 @looped
 async def test_viewer_gone_as_its_node_answers_has_its_session_torn_down(tmp_path, how):
     """Its end lies unread as the node's answer is read; nothing would release the session later."""
-    async with deployment(tmp_path, does="silent", nodes=("n0",)) as env:
+    async with deployment(tmp_path, behaviour="silent", nodes=("n0",)) as env:
         client, node = Client(env), env.platform.nodes["n0"]
-        name = client.ask(product="paid")
+        name = client.request_play(product="paid")
         await env.settle()
         leave(client, how, name)
         (connection,) = env.relay.nodes.connections.values()
-        node.standing[name] = node.came[name]
-        node.say("answered", name, b"made")
+        node.sessions[name] = node.setup_connections[name]
+        node.record("answered", name, b"made")
         env.relay.nodes.handle_message(connection, rtsp.Reader().feed(node.answer(200, name, b"made"))[0])
         await env.settle()
-        assert env.platform.of("cut", name) and not env.platform.standing()
+        assert env.platform.records_of("cut", name) and not env.platform.running_sessions()
         assert not env.relay.driver.plays and not env.relay.viewers.sessions
 
 
@@ -247,9 +247,9 @@
     ) as env:
         answer, env.platform.nodes["n0"].answer = env.platform.nodes["n0"].answer, lambda *_: b""
         client = Client(env)
-        name = client.ask()
+        name = client.request_play()
         await env.settle()
-        assert env.platform.of("asked for load") and not env.sent()
+        assert env.platform.records_of("asked for load") and not env.sent()
         env.platform.nodes["n0"].answer = answer
         client.close()
         await env.advance(1.0)
@@ -299,12 +299,12 @@
     async with deployment(tmp_path, clock=clock) as env:
         client = Client(env)
         if why != "silent":
-            served = client.ask()
+            served = client.request_play()
             await env.settle()
             client.release(served)
         await env.settle()
         clock.now += after
-        name = client.ask()
+        name = client.request_play()
         closer(env)  # in the same turn of the loop: the set-up is unread
         await env.settle()
         (answer,) = client.answers(name)
@@ -345,7 +345,7 @@
         def unread_then_ask(transport):
             results.append(unread(transport))
             if len(results) == 1:
-                client.ask("e" * 16)
+                client.request_play("e" * 16)
             return results[-1]
 
         monkeypatch.setattr(Transport, "unread", unread_then_ask)
@@ -410,14 +410,14 @@
 @looped
 async def test_set_up_completed_late_is_answered_while_an_earlier_one_is_open(tmp_path, clock):
     """The rest of the message comes later than a message may take."""
-    async with deployment(tmp_path, clock=clock, does="silent", nodes=("n0",)) as env:
+    async with deployment(tmp_path, clock=clock, behaviour="silent", nodes=("n0",)) as env:
         client = Client(env)
-        client.ask(product="paid")
+        client.request_play(product="paid")
         name = "e" * 16
         raw = set_up(name)
         client.send(raw[:40])
         await env.advance(2.6)  # longer than a message may take
-        env.platform.nodes["n0"].does = "serve"
+        env.platform.nodes["n0"].behaviour = "serve"
         client.send(raw[40:])
         await env.settle()
         assert [m.kind for m in client.answers(name)] == [ANSWER]
@@ -440,8 +440,8 @@
     """It is answered once, and never open at the same time as the first."""
     async with deployment(tmp_path, clock=clock, nodes=("n0",)) as env:
         node, client = env.platform.nodes["n0"], Client(env)
-        node.does = {"refused": "full", "given up": "silent"}.get(first, "serve")
-        name = client.ask()
+        node.behaviour = {"refused": "full", "given up": "silent"}.get(first, "serve")
+        name = client.request_play()
         if first != "given up before it was sent":
             await env.settle()
         if first == "ended":
@@ -449,12 +449,12 @@
         elif first != "refused":
             client.release(name)
         await env.advance(1.1)  # a node that was full gets no plays for 1 s
-        node.does = "serve"
+        node.behaviour = "serve"
         before = len(client.answers(name))
-        client.ask(name)
+        client.request_play(name)
         await env.settle()
         assert [m.kind for m in client.answers(name)[before:]] == [ANSWER]
-        assert env.platform.standing() == {name: "n0"} and not env.platform.broken()
+        assert env.platform.running_sessions() == {name: "n0"} and not env.platform.violations()
         client.close()
 
 
@@ -481,7 +481,7 @@
         bad, usual, sent = Client(env), Client(env), 0
         bad.sock.setblocking(False)
         for _ in range(20):
-            name = usual.ask()
+            name = usual.request_play()
             while not usual.answers(name):
                 raw = b"".join(piece(sent + i) for i in range(200))
                 sent += 200
@@ -511,13 +511,13 @@
     was not closed by then is answered exactly once, unless its client gave it up.
     """
     draw = random.Random(seed)
-    async with deployment(tmp_path, clock=clock, does=["serve"]) as env:
+    async with deployment(tmp_path, clock=clock, behaviour=["serve"]) as env:
         relay, clients, asked, lost = env.relay, [], {}, set()
         stopped = False
         until = clock.now + 4.5
         while not relay.stopped.is_set() and clock.now < until:
             for node in env.platform.nodes.values():
-                node.does = draw.choice(["serve", "serve", "serve", "silent", "full", "break"])
+                node.behaviour = draw.choice(["serve", "serve", "serve", "silent", "full", "break"])
             for _ in range(draw.randrange(6)):
                 may_open = relay.viewers.listener is not None
                 if may_open and (not clients or draw.random() < 0.2):
@@ -527,7 +527,7 @@
                     continue  # a client that sees the close sends nothing
                 act = draw.random()
                 if act < 0.85:
-                    name = client.ask(
+                    name = client.request_play(
                         product=draw.choice(["cheap", "dear", "paid"]),
                         patience=str(draw.choice([200, 900, 3000])),
                     )
@@ -563,9 +563,11 @@
         assert relay.stopped.is_set()
         unanswered = {n: len(c.answers(n)) for n, c in asked.items() if len(c.answers(n)) != 1}
         # Nodes may read requests in another order than they were written, so `out` above checks that rule.
-        wrong = [why for why in env.platform.broken() if " is out at " not in why]
-        paid = [row[2] for row in env.platform.of("set-up") if row[0] != "viewer" and row[3][0] == "paid"]
-        full = [row[2] for row in env.platform.of("refused") if row[3] == "full"]
+        wrong = [why for why in env.platform.violations() if " is out at " not in why]
+        paid = [
+            row[2] for row in env.platform.records_of("set-up") if row[0] != "viewer" and row[3][0] == "paid"
+        ]
+        full = [row[2] for row in env.platform.records_of("refused") if row[3] == "full"]
         assert len(asked) > 10 and not unanswered and not wrong
         assert all(paid.count(play) <= 1 + full.count(play) for play in paid)
         for client in clients:
@@ -575,16 +577,16 @@
 @looped
 async def test_set_up_sent_after_the_last_answer_of_a_shutdown_is_answered(tmp_path, clock):
     """The next round of the shutdown closes its connection, on which nothing is owed any more."""
-    async with deployment(tmp_path, clock=clock, does="silent", nodes=("n0",)) as env:
+    async with deployment(tmp_path, clock=clock, behaviour="silent", nodes=("n0",)) as env:
         relay, client = env.relay, Client(env)
-        first = client.ask(patience="1500")
+        first = client.request_play(patience="1500")
         await env.settle()
         relay.stop()
         await env.advance(1.0)
         assert relay.viewers.refusing and not client.closed()
         clock.now += 0.6  # the first one's patience is over
         relay.timers.ring()
-        late = client.ask()
+        late = client.request_play()
         for _ in range(3):  # nothing is read between these rounds
             clock.now += 0.002
             relay.timers.ring()
@@ -598,17 +600,17 @@
     """Once no more set-ups come by the page they are refused, and the process ends well before the kill. Open
     set-ups are answered, too.
     """
-    async with deployment(tmp_path, clock=clock, does="silent") as env:
+    async with deployment(tmp_path, clock=clock, behaviour="silent") as env:
         clients, asked = [Client(env) for _ in range(5)], {}
         ends = env.relay.shutdown is None and clock.now
-        asked |= {client.ask(product="paid", patience="30000"): client for client in clients}
+        asked |= {client.request_play(product="paid", patience="30000"): client for client in clients}
         await env.settle()
         env.relay.stop()
         began = clock.now
         while not env.relay.stopped.is_set():
             for client in clients:
                 if not client.closed():
-                    asked[client.ask(patience="900")] = client
+                    asked[client.request_play(patience="900")] = client
             await env.advance(0.02)
             assert (
                 clock.now - began < decide.MAX_COUNTED_TIME_LIMIT_S + decide.KILL_AFTER_TIME_LIMIT_S - 0.1
@@ -621,7 +623,7 @@
 async def test_queued_connections_are_accepted_before_the_listener_closes(tmp_path, clock):
     async with deployment(tmp_path, clock=clock) as env:
         clients = [Client(env) for _ in range(90)]
-        names = [client.ask(patience="900") for client in clients]
+        names = [client.request_play(patience="900") for client in clients]
         env.relay.viewers.ready = False
         env.relay.wind_down()  # more connections than one turn of the loop accepts
         await env.advance(1.5)
@@ -641,7 +643,7 @@
             ends.append((number, how)),
             ended(active_play, number, node, how, *more),
         )
-        client.ask(product="paid")
+        client.request_play(product="paid")
         await env.settle()
         await env.platform.add("n9")
         changed = {
@@ -653,7 +655,7 @@
         for _ in range(3):
             held_connects.complete()
             await env.settle()
-        assert ends[0] in ((0, "not_sent"), (0, "unreached")) and not env.platform.broken()
+        assert ends[0] in ((0, "not_sent"), (0, "unreached")) and not env.platform.violations()
         assert len(env.sent()) == sum(how not in ("not_sent", "unreached") for _, how in ends)
         assert len(env.sent()) <= (change == "started anew")
         client.close()
@@ -665,7 +667,7 @@
     """Only the node list says so: the process that would send releases is gone."""
     async with deployment(tmp_path, nodes=("n0",)) as env:
         client = Client(env)
-        name = client.ask()
+        name = client.request_play()
         await env.settle()
         await env.platform.add("n9")
         change = {"up_since_ms": int(time.time() * 1000) + 1000}
@@ -688,43 +690,45 @@
     the node has acknowledged the TEARDOWN of the first.
     """
     status = LATE[late]
-    async with deployment(tmp_path, clock=clock, does="silent", nodes=("n0",)) as env:
+    async with deployment(tmp_path, clock=clock, behaviour="silent", nodes=("n0",)) as env:
         node, client = env.platform.nodes["n0"], Client(env)
-        name = client.ask()
+        name = client.request_play()
         await env.settle()
-        first = node.came[name]
+        first = node.setup_connections[name]
         if status == 500:
             first.write(node.answer(500, name))
-            node.out.pop(name)
-            node.say("refused", name, "error")
+            node.pending.pop(name)
+            node.record("refused", name, "error")
         elif status == 453:
             first.write(node.answer(454, name))  # it never ran: may be sent again at once
-            node.out.pop(name)
-            node.say("refused", name, "moot")
+            node.pending.pop(name)
+            node.record("refused", name, "moot")
         else:
             await env.advance(0.41)  # its time limit is over
         await env.settle()
-        assert len(env.sent(name)) == 2 and node.came[name] is not first
+        assert len(env.sent(name)) == 2 and node.setup_connections[name] is not first
         first.write(node.answer(status if status != 453 else 454, name, b"late" if status == 200 else b""))
         await env.settle()
-        assert len(env.sent(name)) == 2 and not client.answers(name) and not env.platform.of("cut", name)
-        node.do("serve", node.out[name], name, b"")
+        assert (
+            len(env.sent(name)) == 2 and not client.answers(name) and not env.platform.records_of("cut", name)
+        )
+        node.apply_behaviour("serve", node.pending[name], name, b"")
         await env.settle()
-        assert [m.kind for m in client.answers(name)] == [ANSWER] and not env.platform.broken()
+        assert [m.kind for m in client.answers(name)] == [ANSWER] and not env.platform.violations()
         assert client.answers(name)[0].fields[messages.DESCRIPTION].startswith(b"node n0 made this")
         client.close()
 
 
 @looped
 async def test_second_set_up_at_a_node_waits_for_the_teardown_of_the_first(tmp_path, clock):
-    async with deployment(tmp_path, clock=clock, does="silent", nodes=("n0",)) as env:
+    async with deployment(tmp_path, clock=clock, behaviour="silent", nodes=("n0",)) as env:
         node, client = env.platform.nodes["n0"], Client(env)
-        node.hears = False  # it gets a TEARDOWN and does not acknowledge it
-        name = client.ask()
+        node.acknowledges = False  # it gets a TEARDOWN and does not acknowledge it
+        name = client.request_play()
         await env.advance(0.41)
-        assert env.platform.of("given up", name) and len(env.sent(name)) == 1
+        assert env.platform.records_of("given up", name) and len(env.sent(name)) == 1
         await env.advance(env.relay.nodes.connect_timeout_s)  # nodes need not acknowledge
-        assert len(env.sent(name)) == 2 and not env.platform.broken()
+        assert len(env.sent(name)) == 2 and not env.platform.violations()
         client.close()
 
 
@@ -732,30 +736,33 @@
 @looped
 async def test_partial_answer_ends_its_connection_and_tears_its_session_down(tmp_path, clock, ends):
     """The next message on that connection must not be read as the rest of the answer."""
-    async with deployment(tmp_path, clock=clock, does="silent", nodes=("n0",)) as env:
+    async with deployment(tmp_path, clock=clock, behaviour="silent", nodes=("n0",)) as env:
         node, client = env.platform.nodes["n0"], Client(env)
-        node.does, node.hears = ["serve", "silent"], False  # nothing more is sent on that connection
-        before = client.ask()
+        node.behaviour, node.acknowledges = (
+            ["serve", "silent"],
+            False,
+        )  # nothing more is sent on that connection
+        before = client.request_play()
         await env.settle()
-        name = client.ask(product="paid")
+        name = client.request_play(product="paid")
         await env.settle()
-        first = node.came[name]
-        assert first is node.came[before]
+        first = node.setup_connections[name]
+        assert first is node.setup_connections[before]
         first.write(node.answer(200, name, b"x" * 50)[:-20])
-        node.out.pop(name)
-        node.standing[name] = first
-        node.say("answered", name, b"x" * 50)
+        node.pending.pop(name)
+        node.sessions[name] = first
+        node.record("answered", name, b"x" * 50)
         if ends == "closes":
             await env.settle()
             first.close()
         await env.advance(3.1)
         assert [m.kind for m in client.answers(name)] == [RELEASE] and len(env.sent(name)) == 1
-        assert env.platform.standing().keys() == {before} and first not in node.lines
+        assert env.platform.running_sessions().keys() == {before} and first not in node.connections
         node.end(before, 16)  # sent on the connection of its set-up, if that is still open
         await env.settle()
         assert [m.kind for m in client.answers(before)] == [ANSWER, RELEASE]
-        node.does = "serve"
-        other = client.ask()
+        node.behaviour = "serve"
+        other = client.request_play()
         await env.settle()
         (answer,) = client.answers(other)
         assert answer.kind == ANSWER and answer.fields[messages.DESCRIPTION] == (
@@ -770,9 +777,9 @@
     async with deployment(tmp_path, clock=clock, nodes=("n0",)) as env:
         node, client = env.platform.nodes["n0"], Client(env)
         for end in ("", "viewer", "node"):
-            name = client.ask()
+            name = client.request_play()
             await env.settle()
-            writer = node.came[name]
+            writer = node.setup_connections[name]
             if end == "viewer":
                 client.release(name)
             elif end == "node":
@@ -782,8 +789,8 @@
             writer.write(node.answer(200, name, b"a second copy"))
             await env.advance(0.01)
             assert len(client.answers(name)) == heard
-            assert (name in env.platform.standing()) == (not end)
-        assert not env.platform.broken() and len(env.relay.driver.plays) == 1
+            assert (name in env.platform.running_sessions()) == (not end)
+        assert not env.platform.violations() and len(env.relay.driver.plays) == 1
         client.close()
 
 
@@ -792,7 +799,7 @@
     """The end of its connections starts the set-up again, which must not open a connection to it."""
     async with deployment(tmp_path, clock=clock, nodes=("n0", "n1")) as env:
         client = Client(env)
-        served = client.ask()
+        served = client.request_play()
         await env.settle()
         relay = env.relay.nodes
         (name,) = [n.id for n in relay.nodes.values() if n.connections]
@@ -823,10 +830,10 @@
         held_connects.waiting.clear()
         second.connected()
         await env.settle()
-        assert other.transport is second and not env.platform.of("asked for load")
+        assert other.transport is second and not env.platform.records_of("asked for load")
         first.connected()
         await env.settle()
-        assert endings == ["ok"] and len(env.platform.of("asked for load")) == 1
+        assert endings == ["ok"] and len(env.platform.records_of("asked for load")) == 1
         relay.probe("n0")
         await env.advance(nodes.PROBE_TIMEOUT_S + 0.01)
         assert endings == ["ok", "ok"]
@@ -847,14 +854,14 @@
     """Ends of sessions lie unread as the relay closes idle connections."""
     async with deployment(tmp_path, clock=clock, nodes=("n0",)) as env:
         client, node = Client(env), env.platform.nodes["n0"]
-        names = [client.ask() for _ in range(2)]
+        names = [client.request_play() for _ in range(2)]
         await env.settle()
         clock.now += 10.0
         relay = env.relay.nodes
         assert len(relay.connections) == 2
         for name in names:
             node.end(name, 16)
-        for writer in node.lines:
+        for writer in node.connections:
             writer.write(b"")
         while relay.free_connection():
             pass
@@ -867,13 +874,13 @@
 async def test_teardown_on_a_reset_connection_is_sent_on_the_next(tmp_path, clock):
     async with deployment(tmp_path, clock=clock, nodes=("n0",)) as env:
         client, node = Client(env), env.platform.nodes["n0"]
-        name = client.ask()
+        name = client.request_play()
         await env.settle()
         node.reset()
         await asyncio.sleep(0)  # the reset has arrived, and is unread
         client.release(name)
         await env.advance(2.0)
-        assert env.platform.of("cut", name) and not env.platform.standing()
+        assert env.platform.records_of("cut", name) and not env.platform.running_sessions()
         client.close()
 
 
--- a/tests/relay/test_fleet_faults.py
+++ b/tests/relay/test_fleet_faults.py
@@ -45,15 +45,15 @@
 
 
 class TimedPlatform(Platform):
-    """Records the time of each entry in `seen`, too."""
+    """Records the time of each entry of `traffic`, too."""
 
     def __init__(self):
         super().__init__()
         self.times = []
 
-    def saw(self, side, what, session, value=""):
+    def record(self, side, what, session, value=""):
         self.times.append(time.monotonic())
-        super().saw(side, what, session, value)
+        super().record(side, what, session, value)
 
 
 class Front:
@@ -131,7 +131,7 @@
         for front in self.fronts:
             if front.channel is not None:
                 change = self.members[name] | {"host_port": f"127.0.0.1:{front.links[name].port}"}
-                front.channel.tell(len(front.channel.events) + 2, [change])
+                front.channel.send_event(len(front.channel.events) + 2, [change])
 
     # ---- load
 
@@ -146,23 +146,23 @@
                 continue
             life, names, until = front.life, [], time.monotonic() + draw.uniform(0.3, 3.0)
             while viewer.writable() and time.monotonic() < until and not self.over:
-                name = viewer.ask(product=draw.choice(["cheap", "dear", "paid"]), patience="1500")
+                name = viewer.request_play(product=draw.choice(["cheap", "dear", "paid"]), patience="1500")
                 self.asked[name] = front, life, viewer
                 names.append(name)
                 old = draw.choice(names)
-                if draw.random() < 0.5 and viewer.of(old, (ANSWER,)) and old in self.asked:
+                if draw.random() < 0.5 and viewer.messages_of(old, (ANSWER,)) and old in self.asked:
                     viewer.release(old)
                 elif draw.random() < 0.05:
                     self.lost.add(name)
                     viewer.release(name)
                 await asyncio.sleep(draw.uniform(0.01, 0.05))
             if not viewer.closed and draw.random() < 0.5 and not self.over:
-                self.lost |= {name for name in names if not viewer.of(name, (ANSWER, RELEASE))}
+                self.lost |= {name for name in names if not viewer.messages_of(name, (ANSWER, RELEASE))}
                 viewer.close()
             else:
                 await self.wait_until(
                     lambda v=viewer, n=names: v.closed
-                    or all(v.of(x, (ANSWER, RELEASE)) or x in self.lost for x in n)
+                    or all(v.messages_of(x, (ANSWER, RELEASE)) or x in self.lost for x in n)
                 )
 
     async def wait_until(self, condition):
@@ -179,7 +179,7 @@
         draw = self.draw
         front, name = draw.choice(self.fronts), draw.choice(list(self.members))
         link = draw.choice([front.links[name], front.links[name], front.way])
-        way = draw.choice([link.there, link.back])
+        faults = draw.choice([link.request_faults, link.response_faults])
         kind = draw.choice(
             [
                 "reset",
@@ -197,18 +197,18 @@
             ]
         )
         if kind == "reset":
-            way.set("reset", draw.randrange(200))
+            faults.set("reset", draw.randrange(200))
         elif kind == "stall":
-            way.set("stall", 1)
-            self.later(draw.uniform(0.1, 1.2), way.set, "stall", 0)
+            faults.set("stall", 1)
+            self.later(draw.uniform(0.1, 1.2), faults.set, "stall", 0)
         elif kind == "delay":
-            way.set("delay", draw.uniform(0.01, 0.1))
-            self.later(0.6, way.set, "delay", 0)
+            faults.set("delay", draw.uniform(0.01, 0.1))
+            self.later(0.6, faults.set, "delay", 0)
         elif kind == "node":
-            self.platform.nodes[name].does = draw.choice(
+            self.platform.nodes[name].behaviour = draw.choice(
                 ["twice", "full", "error", "break", "silent", "ahead", "moot", "noise", "huge"]
             )
-            self.later(draw.uniform(0.1, 0.5), setattr, self.platform.nodes[name], "does", "serve")
+            self.later(draw.uniform(0.1, 0.5), setattr, self.platform.nodes[name], "behaviour", "serve")
         elif kind == "drain" and len(self.drained) < 2 and name not in self.drained:
             self.members[name] = self.members[name] | {"phase": "draining"}
             self.announce(name)
@@ -220,12 +220,12 @@
             self.announce(new)
         elif kind in ("kill", "leave"):
             for silent in draw.sample(list(self.platform.nodes.values()), 3):  # so that allocations are open
-                silent.does = "silent"
-                self.later(1.2, setattr, silent, "does", "serve")
+                silent.behaviour = "silent"
+                self.later(1.2, setattr, silent, "behaviour", "serve")
             await front.end(signal.SIGKILL if kind == "kill" else signal.SIGTERM)
             await front.start()
         elif kind == "hang up":
-            front.channel.hang_up()
+            front.channel.close_connections()
 
     async def run(self):
         clients = [asyncio.create_task(self.client(front)) for front in self.fronts for _ in range(2)]
@@ -235,9 +235,9 @@
             await asyncio.sleep(self.draw.uniform(0.05, 0.2))
         for front in self.fronts:
             for link in (*front.links.values(), front.way):
-                for way in (link.there, link.back):
-                    way.set("stall", 0)
-                    way.set("delay", 0)
+                for faults in (link.request_faults, link.response_faults):
+                    faults.set("stall", 0)
+                    faults.set("delay", 0)
         await asyncio.sleep(1.0)  # the faults are over, and the clients still request plays
         self.over = True
         await asyncio.gather(*clients)
@@ -261,7 +261,7 @@
         """
         written = {
             row[2]: at
-            for at, row in zip(self.platform.times, self.platform.seen, strict=True)
+            for at, row in zip(self.platform.times, self.platform.traffic, strict=True)
             if row[:2] == ("viewer", "set-up")
         }
         by_viewer, found = {}, []
@@ -270,7 +270,7 @@
         for (viewer, front, life), names in by_viewer.items():
             if life in front.killed:
                 continue
-            ended = [bool(viewer.of(name, (ANSWER, RELEASE))) or name in self.lost for name in names]
+            ended = [bool(viewer.messages_of(name, (ANSWER, RELEASE))) or name in self.lost for name in names]
             missed = [name for name, end in zip(names, ended, strict=True) if not end]
             crossed = (
                 viewer.closed
@@ -282,17 +282,17 @@
 
     def answers(self):
         """Rule 1: second answers, and answers that no node made for the play."""
-        made = {(row[2], row[3]) for row in self.platform.of("answered")}
-        wrong = [why for why in self.platform.broken() if "second answer" in why]
+        made = {(row[2], row[3]) for row in self.platform.records_of("answered")}
+        wrong = [why for why in self.platform.violations() if "second answer" in why]
         for name, (_, _, viewer) in self.asked.items():
-            for message in viewer.of(name, (ANSWER,)):
+            for message in viewer.messages_of(name, (ANSWER,)):
                 if (name, message.fields[DESCRIPTION]) not in made:
                     wrong.append(f"{name}: {message.fields[DESCRIPTION]!r}")
         return wrong
 
     def sent(self):
         """Set-ups received by nodes: when, node, session, (product, rung)."""
-        rows = zip(self.platform.times, self.platform.seen, strict=True)
+        rows = zip(self.platform.times, self.platform.traffic, strict=True)
         return [
             (at, side, session, value)
             for at, (side, what, session, value) in rows
@@ -302,7 +302,7 @@
     def sent_again(self):
         """Rule 2: paid set-ups that were sent again though the one before was not refused."""
         may, wrong = {}, []
-        for side, what, session, value in self.platform.seen:
+        for side, what, session, value in self.platform.traffic:
             if what == "set-up" and side != "viewer" and value[0] == "paid":
                 if may.get(session):
                     wrong.append(f"{session} at {may[session]} and {side}")
@@ -364,7 +364,7 @@
         fleet.close()
     said = "".join(err for front in fleet.fronts for err in front.errors)
     assert "Traceback" not in said and "fault=" not in said, said
-    served = sum(bool(viewer.of(name, (ANSWER,))) for name, (_, _, viewer) in fleet.asked.items())
+    served = sum(bool(viewer.messages_of(name, (ANSWER,))) for name, (_, _, viewer) in fleet.asked.items())
     # most are declined, since new fronts limit the rate at nodes they don't know
     assert len(fleet.asked) > 200 and served > 50
     assert not fleet.unanswered() and not fleet.answers()
--- a/tests/relay/test_processes.py
+++ b/tests/relay/test_processes.py
@@ -120,9 +120,9 @@
 
     async def served(viewer):
         """Request a play and expect success, while the idle clients reconnect."""
-        name = viewer.ask()
+        name = viewer.request_play()
         await crowd.fill()
-        assert (await viewer.hear(name)).kind == messages.ANSWER
+        assert (await viewer.wait_for_message(name)).kind == messages.ANSWER
         return name
 
     try:
@@ -136,20 +136,20 @@
             viewer.close()
         assert len(os.listdir(f"/proc/{process.pid}/fd")) <= sockets
         await platform.channel.start(down)  # discovery is back
-        platform.channel.tell(2, [platform.member("n0", "draining")])
-        while not platform.channel.calls:
+        platform.channel.send_event(2, [platform.member("n0", "draining")])
+        while not platform.channel.requests:
             await crowd.fill()
             await asyncio.sleep(0.01)
         for _ in range(3):
             await served(usual)
-        seen = len(platform.seen)
+        seen = len(platform.traffic)
         viewer = await platform.viewer(port)
         await served(viewer)
-        there = {row[0] for row in platform.seen[seen:] if row[1] == "set-up" and row[0] != "viewer"}
-        assert there == {"n1"} and not usual.closed and not platform.broken()
-        node = platform.nodes[platform.standing()[playing]]
+        there = {row[0] for row in platform.traffic[seen:] if row[1] == "set-up" and row[0] != "viewer"}
+        assert there == {"n1"} and not usual.closed and not platform.violations()
+        node = platform.nodes[platform.running_sessions()[playing]]
         node.end(playing, 16)
-        assert (await usual.hear(playing, 2)).kind == messages.RELEASE  # on its own connection
+        assert (await usual.wait_for_message(playing, 2)).kind == messages.RELEASE  # on its own connection
     finally:
         crowd.close()
         process.kill()
--- a/tests/relay/test_relay_process.py
+++ b/tests/relay/test_relay_process.py
@@ -203,24 +203,24 @@
             )
             fronts.append(await asyncio.to_thread(run, tmp_path, text, f"{i}.json", RELAY_NAME=f"n{i}"))
         async with asyncio.timeout(60):
-            while len(platform.channel.lines) < 8:
+            while len(platform.channel.connections) < 8:
                 await asyncio.sleep(0.01)
-            platform.channel.calls.clear()
-            platform.channel.when = lambda: reconnected_at.append(time.monotonic())
-            platform.channel.hang_up()
+            platform.channel.requests.clear()
+            platform.channel.on_request = lambda: reconnected_at.append(time.monotonic())
+            platform.channel.close_connections()
             lost = time.monotonic()
-            platform.channel.tell(2, [platform.member("n0", "draining")])
-            while len(platform.channel.lines) < 8:
+            platform.channel.send_event(2, [platform.member("n0", "draining")])
+            while len(platform.channel.connections) < 8:
                 await asyncio.sleep(0.01)
-        assert platform.channel.calls == [1] * 8
+        assert platform.channel.requests == [1] * 8
         # drawn from 0.05 to 0.25 s here; with fixed delays all eight would reconnect at one moment
         assert reconnected_at[-1] - reconnected_at[0] > 0.05 and reconnected_at[0] - lost > 0.04
         viewers = [await platform.viewer(port) for _, port in fronts]
         for viewer in viewers * 3:
-            heard = await viewer.hear(viewer.ask())
+            heard = await viewer.wait_for_message(viewer.request_play())
             assert heard.kind in (messages.ANSWER, messages.RELEASE)
-        assert not [row for row in platform.of("set-up") if row[0] == "n0"]
-        assert [row for row in platform.of("set-up") if row[0] == "n1"]
+        assert not [row for row in platform.records_of("set-up") if row[0] == "n0"]
+        assert [row for row in platform.records_of("set-up") if row[0] == "n1"]
     finally:
         for process, _ in fronts:
             process.kill()
--- a/tests/relay/test_standing.py
+++ b/tests/relay/test_standing.py
@@ -43,7 +43,7 @@
             self.fronts.append(
                 await asyncio.to_thread(run, self.tmp_path, text, f"{i}.json", RELAY_NAME=f"n{i}")
             )
-        await self.wait_until(lambda: len(self.platform.channel.lines) >= fronts)
+        await self.wait_until(lambda: len(self.platform.channel.connections) >= fronts)
         # A front that reconnects to the channel is counted twice there, so each has to listen as well.
         for _, port in self.fronts:
             (await asyncio.to_thread(poll, lambda port=port: try_connect(port))).close()
@@ -108,16 +108,16 @@
 
     async def run(self):
         while self.viewer.writable():
-            self.sent[self.viewer.ask(patience="900")] = time.monotonic()
+            self.sent[self.viewer.request_play(patience="900")] = time.monotonic()
             await asyncio.sleep(self.period)
         self.closed = time.monotonic()
-        await self.viewer.gone()  # answers that came before the close are read by then
+        await self.viewer.wait_closed()  # answers that came before the close are read by then
 
     def answered(self):
         return sum(1 for name in self.sent if self.ended(name))
 
     def ended(self, name):
-        return self.viewer.of(name, (messages.ANSWER, messages.RELEASE))
+        return self.viewer.messages_of(name, (messages.ANSWER, messages.RELEASE))
 
     def answered_in_order(self):
         """Whether all set-ups up to some moment are answered, and none after it."""
@@ -165,22 +165,22 @@
     other = type(env.platform.channel)()
     try:
         await other.start()
-        other.tell(2, [env.platform.member("n0", "draining")])
+        other.send_event(2, [env.platform.member("n0", "draining")])
         file = tmp_path / "0.json"
         file.write_text(json.dumps(json.loads(file.read_text()) | {"channel": f"127.0.0.1:{other.port}"}))
         env.fronts[0][0].send_signal(signal.SIGHUP)
-        await env.wait_until(lambda: other.lines)
-        assert other.calls == [1]  # event numbers go on
-        viewer, at = await env.viewer(), len(env.platform.seen)
-        await viewer.hear(viewer.ask())
+        await env.wait_until(lambda: other.connections)
+        assert other.requests == [1]  # event numbers go on
+        viewer, at = await env.viewer(), len(env.platform.traffic)
+        await viewer.wait_for_message(viewer.request_play())
 
         def sent():
-            return [row[0] for row in env.platform.seen[at:] if row[1] == "set-up" and row[0] != "viewer"]
+            return [row[0] for row in env.platform.traffic[at:] if row[1] == "set-up" and row[0] != "viewer"]
 
         async with asyncio.timeout(20):
             while len(sent()) < 3:  # a new front limits the rate at nodes it doesn't know
-                name = viewer.ask()
-                if (await viewer.hear(name)).kind == messages.ANSWER:
+                name = viewer.request_play()
+                if (await viewer.wait_for_message(name)).kind == messages.ANSWER:
                     viewer.release(name)
                 await asyncio.sleep(0.02)
         assert set(sent()) == {"n1"}
@@ -202,8 +202,8 @@
         nodes=1, fronts=fronts, since=int(time.time() * 1000), settings=settings
     )
     times = []
-    seen = env.platform.saw
-    env.platform.saw = lambda side, what, session, value="": (
+    seen = env.platform.record
+    env.platform.record = lambda side, what, session, value="": (
         times.append(time.monotonic()) if what == "set-up" and side == "n0" else None,
         seen(side, what, session, value),
     )
@@ -212,13 +212,13 @@
         names = []
         for turn in range(30):
             names += [
-                (viewer, viewer.ask(patience="900"))
+                (viewer, viewer.request_play(patience="900"))
                 for i, viewer in enumerate(viewers)
                 if turn % 4 == 0 or i % 4 == 0
             ]
             await asyncio.sleep(0.02)
         for viewer, name in names:
-            await viewer.hear(name)
+            await viewer.wait_for_message(name)
         rules, streams = settings["invariants"], settings["specifics"]["kind-streams"][0]
         window = rules["fall-ms"] / 1000
         allowed = (
@@ -247,26 +247,26 @@
     env = await Deployment(tmp_path).open(nodes=4, fronts=fronts, unlisted=("n0",), settings=settings)
     times, platform = [], env.platform
     for name in ("n1", "n2", "n3"):
-        platform.nodes[name].does = "full"
+        platform.nodes[name].behaviour = "full"
     try:
         viewers = [await env.viewer(i) for i in range(fronts)]
         await asyncio.sleep(1.6)  # a new front counts the nodes it found as warm by then; longer does no harm
-        seen = platform.saw
-        platform.saw = lambda side, what, session, value="": (
+        seen = platform.record
+        platform.record = lambda side, what, session, value="": (
             times.append(time.monotonic()) if what == "set-up" and side == "n0" else None,
             seen(side, what, session, value),
         )
-        platform.channel.tell(2, [platform.member("n0", since=int(time.time() * 1000))])
+        platform.channel.send_event(2, [platform.member("n0", since=int(time.time() * 1000))])
         names = []
         for turn in range(10):
             names += [
-                (viewer, viewer.ask(patience="900"))
+                (viewer, viewer.request_play(patience="900"))
                 for i, viewer in enumerate(viewers)
                 if turn % 2 == 0 or i % 3 == 0
             ]
             await asyncio.sleep(0.03)
         for viewer, name in names:
-            await viewer.hear(name)
+            await viewer.wait_for_message(name)
         invariants = settings["invariants"]
         window = invariants["fall-ms"] / 1000
         bears = (
@@ -277,7 +277,7 @@
             / (invariants["warm-within-ms"] / 1000)
         )
         most = max((sum(t <= other < t + window for other in times) for t in times), default=0)
-        assert 0 < most <= bears + 2 * math.sqrt(bears) + 2 and not platform.broken()
+        assert 0 < most <= bears + 2 * math.sqrt(bears) + 2 and not platform.violations()
     finally:
         env.close()
 
@@ -357,7 +357,9 @@
             got = {product: [] for product in products}
             for _ in range(most // len(products) + 4):
                 for product in products:
-                    end = await viewer.hear(viewer.ask(product=product, patience=limits[product], top=top))
+                    end = await viewer.wait_for_message(
+                        viewer.request_play(product=product, patience=limits[product], top=top)
+                    )
                     got[product].append(end.kind == messages.ANSWER)
             few = -(-3 * most // (4 * len(products)))
             shares = {product: sum(ends[:few]) / few for product, ends in got.items()}
@@ -365,10 +367,10 @@
             cheapest = min(products, key=worth.get)
             assert all(shares[p] == 1 for p in products if p != cheapest) and not got[cheapest][-1], shares
             thirds.append({product: sum(ends) for product, ends in got.items()})
-            for session, node in platform.standing().items():
+            for session, node in platform.running_sessions().items():
                 platform.nodes[node].end(session, 16)
-                await viewer.hear(session, 2)  # the front has handled the end
-        assert not platform.broken()
+                await viewer.wait_for_message(session, 2)  # the front has handled the end
+        assert not platform.violations()
         for product in products:
             counts = [third[product] for third in thirds]
             assert min(counts) >= 0.7 * max(counts), thirds
--- a/tests/standins/test_links.py
+++ b/tests/standins/test_links.py
@@ -1,4 +1,4 @@
-"""Links between processes: what passes, what waits, and what both sides see of each fault."""
+"""Injected network faults: which data passes, which waits, and what both sides see of each fault."""
 
 import asyncio
 import time
@@ -17,15 +17,17 @@
 from curlewhall.wire.timers import Timers
 
 BODY = b"x" * 4000
-FACTS = forms.PlayInfo("p1", 0, "plain", "west", "v1", "clip", 3, 0)
+INFO = forms.PlayInfo("p1", 0, "plain", "west", "v1", "clip", 3, 0)
 
 
-class Rig:
-    """A node behind a link: what reached it, and a client on the front's side."""
+class LinkedNode:
+    """A node behind a link, the requests that reached it, and a client on the front's side."""
 
     def __init__(self, tmp_path):
         self.loop, net, link = asyncio.get_running_loop(), subnet(), PORT + 100
-        self.timers, self.came, self.gone = Timers(self.loop), [], []
+        self.timers = Timers(self.loop)
+        self.received = []  # requests that reached the node
+        self.closed = []  # of them, those whose connection the node saw closed
         self.path = tmp_path / "links.jsonl"
         self.records = Writer(self.path)
         plan = {
@@ -34,156 +36,164 @@
             "list_service": {"address": f"{net}.1", "port": PORT},
             "nodes": [{"node": "n0", "address": f"{net}.2", "port": PORT}],
         }
-        self.links, self.answers = Links(self.loop, plan, self.records), True
+        self.links = Links(self.loop, plan, self.records)
+        self.answers = True  # whether the node answers
         self.server = Server(self.loop, self.timers, listen(f"{net}.2", PORT), self.handle)
-        self.links.up("n0", True)
+        self.links.destination_changed("n0", True)
         self.pool = Pool(self.loop, self.timers, f"{net}.2", link, connect=0.3)
 
     def handle(self, exchange):
-        self.came.append(exchange)
-        exchange.gone = lambda: self.gone.append(exchange)
+        self.received.append(exchange)
+        exchange.gone = lambda: self.closed.append(exchange)
         if self.answers:
             exchange.reply(200, {}, BODY)
 
-    def ask(self, span=5.0, body=b"", target="/"):
-        return self.pool.fetch(request_bytes("POST", target, "x", body, content_type="a/b"), span)
+    def request(self, timeout=5.0, body=b"", target="/"):
+        return self.pool.fetch(request_bytes("POST", target, "x", body, content_type="a/b"), timeout)
 
-    def rows(self, what):
+    def records_of(self, what):
         self.records.flush()
         return [row for row in read(self.path) if row["what"] == what]
 
     def close(self):
         self.pool.close()
         self.server.close()
-        self.links.up("n0", False)
+        self.links.destination_changed("n0", False)
         self.records.close()
 
 
-async def until(true):
-    while not true():
+async def wait_until(condition):
+    while not condition():
         await asyncio.sleep(0.005)
 
 
-TO, BACK = ("front-0", "n0"), ("n0", "front-0")
+REQUEST, RESPONSE = ("front-0", "n0"), ("n0", "front-0")
 
 
 @looped
-async def test_a_link_without_fault_passes_all(tmp_path):
-    rig = Rig(tmp_path)
+async def test_link_without_fault_passes_all_requests(tmp_path):
+    node = LinkedNode(tmp_path)
     for _ in range(3):
-        assert (await rig.ask()).message.body == BODY
-    assert len(rig.rows("handshake")) == 1 and rig.pool.opened == 1
-    rig.close()
+        assert (await node.request()).message.body == BODY
+    assert len(node.records_of("handshake")) == 1 and node.pool.opened == 1
+    node.close()
 
 
 @pytest.mark.parametrize(
-    ("way", "kind", "came"), [(TO, "stall", 0), (BACK, "stall", 1), (TO, "cut", 0), (BACK, "cut", 1)]
+    ("direction", "kind", "received"),
+    [(REQUEST, "stall", 0), (RESPONSE, "stall", 1), (REQUEST, "cut", 0), (RESPONSE, "cut", 1)],
 )
-def test_what_is_held_waits_and_passes_once_it_ends(tmp_path, way, kind, came):
+def test_data_on_blocked_link_is_delivered_once_fault_ends(tmp_path, direction, kind, received):
     @looped
     async def run():
-        rig = Rig(tmp_path)
-        await rig.ask()
-        rig.links.fault(*way, kind, 1)
-        asked = asyncio.ensure_future(rig.ask())
-        if came:
-            await until(lambda: len(rig.came) == 2)  # it runs, and nobody on this side can know
-        done, _ = await asyncio.wait([asked], timeout=0.1)
-        assert not done and len(rig.came) == 1 + came
-        rig.links.fault(*way, kind, 0)
-        assert (await asked).message.body == BODY and len(rig.came) == 2
-        rig.close()
+        node = LinkedNode(tmp_path)
+        await node.request()
+        node.links.fault(*direction, kind, 1)
+        reply = asyncio.ensure_future(node.request())
+        if received:
+            await wait_until(
+                lambda: len(node.received) == 2
+            )  # the node works on it, which the client can't know
+        done, _ = await asyncio.wait([reply], timeout=0.1)
+        assert not done and len(node.received) == 1 + received
+        node.links.fault(*direction, kind, 0)
+        assert (await reply).message.body == BODY and len(node.received) == 2
+        node.close()
 
     run()
 
 
-@pytest.mark.parametrize("way", [TO, BACK])
-def test_a_cut_link_swallows_new_connections_and_a_stalled_one_takes_them(tmp_path, way):
+@pytest.mark.parametrize("direction", [REQUEST, RESPONSE])
+def test_cut_link_drops_new_connections_and_stalled_link_accepts_them(tmp_path, direction):
     @looped
     async def run():
-        rig = Rig(tmp_path)
-        rig.links.fault(*way, "cut", 1)
-        reply = await rig.ask()
+        node = LinkedNode(tmp_path)
+        node.links.fault(*direction, "cut", 1)
+        reply = await node.request()
         assert reply.ending == "unreached" and reply.took >= 0.29  # dropped, not refused
-        rig.links.fault(*way, "cut", 0)
-        assert (await rig.ask()).ending == "ok"
-        rig.pool.drop_idle()
-        rig.links.fault(*way, "stall", 1)
-        assert (await rig.ask(0.3)).ending == "late"
-        rig.close()
+        node.links.fault(*direction, "cut", 0)
+        assert (await node.request()).ending == "ok"
+        node.pool.drop_idle()
+        node.links.fault(*direction, "stall", 1)
+        assert (await node.request(0.3)).ending == "late"
+        node.close()
 
     run()
 
 
 @looped
-async def test_a_link_refuses_while_what_is_behind_it_is_down(tmp_path):
-    rig = Rig(tmp_path)
-    rig.links.up("n0", False)
-    reply = await rig.ask()
+async def test_link_refuses_connections_while_its_destination_is_down(tmp_path):
+    node = LinkedNode(tmp_path)
+    node.links.destination_changed("n0", False)
+    reply = await node.request()
     assert reply.ending == "unreached" and reply.took < 0.25
-    rig.links.fault(*TO, "cut", 1)  # of a cut link nobody can tell
-    assert (await rig.ask()).took >= 0.29
-    rig.links.up("n0", True)
-    rig.links.fault(*TO, "cut", 0)
-    assert (await rig.ask()).ending == "ok"
-    rig.close()
+    node.links.fault(*REQUEST, "cut", 1)  # a cut link hides that its destination is down
+    assert (await node.request()).took >= 0.29
+    node.links.destination_changed("n0", True)
+    node.links.fault(*REQUEST, "cut", 0)
+    assert (await node.request()).ending == "ok"
+    node.close()
 
 
-@pytest.mark.parametrize(("way", "after", "came"), [(BACK, 0, 0), (BACK, 2000, 1), (TO, 10, 0)])
-def test_a_reset_breaks_an_open_connection_within_a_message(tmp_path, way, after, came):
+@pytest.mark.parametrize(
+    ("direction", "after_bytes", "received"), [(RESPONSE, 0, 0), (RESPONSE, 2000, 1), (REQUEST, 10, 0)]
+)
+def test_reset_breaks_open_connection_within_a_message(tmp_path, direction, after_bytes, received):
     @looped
     async def run():
-        rig = Rig(tmp_path)
-        await rig.ask()
-        rig.links.fault(*way, "reset", after)
-        reply = await rig.ask()
-        if after:
-            assert reply.ending == "broken" and len(rig.came) == 1 + came
-        else:  # it was idle: the pool sees that it is dead, and opens another
-            assert reply.ending == "ok" and rig.pool.opened == 2
-        assert (await rig.ask()).ending == "ok"
-        rig.close()
+        node = LinkedNode(tmp_path)
+        await node.request()
+        node.links.fault(*direction, "reset", after_bytes)
+        reply = await node.request()
+        if after_bytes:
+            assert reply.ending == "broken" and len(node.received) == 1 + received
+        else:  # the connection was idle: the pool sees that it is closed, and opens another
+            assert reply.ending == "ok" and node.pool.opened == 2
+        assert (await node.request()).ending == "ok"
+        node.close()
 
     run()
 
 
-@pytest.mark.parametrize(("kind", "value", "least"), [("slow", 10.0, 0.38), ("delay", 0.3, 0.3)])
-def test_what_takes_time(tmp_path, kind, value, least):
+@pytest.mark.parametrize(("kind", "value", "min_s"), [("slow", 10.0, 0.38), ("delay", 0.3, 0.3)])
+def test_slow_or_delayed_link_adds_latency(tmp_path, kind, value, min_s):
     @looped
     async def run():
-        rig = Rig(tmp_path)
-        await rig.ask()
-        rig.links.fault(*BACK, kind, value)
+        node = LinkedNode(tmp_path)
+        await node.request()
+        node.links.fault(*RESPONSE, kind, value)
         began = time.monotonic()
-        assert (await rig.ask()).message.body == BODY
-        assert time.monotonic() - began >= least
-        rig.close()
+        assert (await node.request()).message.body == BODY
+        assert time.monotonic() - began >= min_s
+        node.close()
 
     run()
 
 
 @looped
-async def test_letting_go_is_seen_at_the_fronts_side_of_a_cut(tmp_path):
-    rig = Rig(tmp_path)
-    await rig.ask()
-    rig.answers = False
-    rig.links.fault(*TO, "cut", 0)
-    body = forms.encode(forms.SetUp("front-0", FACTS, 1000.0))
-    asked = asyncio.ensure_future(rig.ask(0.2, body, "/v1/plays"))
-    await until(lambda: len(rig.came) == 2)
-    rig.links.fault(*TO, "cut", 1)
-    assert (await asked).ending == "late"
-    await until(lambda: rig.rows("let_go"))
-    assert not rig.gone  # the node has not heard of it
-    assert [(row["at"], row["play"], row["number"]) for row in rig.rows("let_go")] == [("node:n0", "p1", 0)]
-    rig.links.fault(*TO, "cut", 0)
-    await until(lambda: rig.gone)
-    rig.close()
+async def test_given_up_set_up_is_recorded_at_front_side_of_cut(tmp_path):
+    node = LinkedNode(tmp_path)
+    await node.request()
+    node.answers = False
+    node.links.fault(*REQUEST, "cut", 0)
+    body = forms.encode(forms.SetUp("front-0", INFO, 1000.0))
+    reply = asyncio.ensure_future(node.request(0.2, body, "/v1/plays"))
+    await wait_until(lambda: len(node.received) == 2)
+    node.links.fault(*REQUEST, "cut", 1)
+    assert (await reply).ending == "late"
+    await wait_until(lambda: node.records_of("let_go"))
+    assert not node.closed  # the node has not seen the connection close
+    assert [(row["at"], row["play"], row["number"]) for row in node.records_of("let_go")] == [
+        ("node:n0", "p1", 0)
+    ]
+    node.links.fault(*REQUEST, "cut", 0)
+    await wait_until(lambda: node.closed)
+    node.close()
 
 
 @looped
-async def test_faults_between_fronts_hold_for_one_direction(tmp_path):
-    loop, got = asyncio.get_running_loop(), {0: [], 1: []}
+async def test_fault_between_fronts_applies_to_one_direction(tmp_path):
+    loop, received = asyncio.get_running_loop(), {0: [], 1: []}
 
     class Front(asyncio.DatagramProtocol):
         def __init__(self, index):
@@ -192,51 +202,51 @@
         def connection_made(self, transport):
             self.transport = transport
 
-        def datagram_received(self, data, source):
-            got[self.index].append(data)
+        def datagram_received(self, data, address):
+            received[self.index].append(data)
 
     fronts = [
         (await loop.create_datagram_endpoint(lambda i=i: Front(i), ("127.0.0.1", 0)))[0] for i in (0, 1)
     ]
-    homes = [transport.get_extra_info("sockname") for transport in fronts]
+    addresses = [transport.get_extra_info("sockname") for transport in fronts]
     legs = {pair: [f"{subnet()}.1", PORT] for pair in ("0:1", "1:0")}
     records = Writer(tmp_path / "peers.jsonl")
     relay = Relay(
         loop,
         Timers(loop),
-        {"late": [0.0, 0.001], "legs": legs, "fronts": {str(i): list(homes[i]) for i in (0, 1)}},
+        {"late": [0.0, 0.001], "legs": legs, "fronts": {str(i): list(addresses[i]) for i in (0, 1)}},
         records,
         ["front-0", "front-1"],
     )
     await relay.start()
 
-    def say(one, count):
+    def send(source, count):
         for number in range(count):
-            fronts[one].sendto(b"%d" % number, tuple(legs[f"{one}:{1 - one}"]))
+            fronts[source].sendto(b"%d" % number, tuple(legs[f"{source}:{1 - source}"]))
 
     assert relay.fault_between("front-0", "front-1", "cut", 1)
     assert not relay.fault_between("front-0", "nobody", "cut", 1)
-    say(0, 5)
-    say(1, 5)
-    await until(lambda: len(got[0]) == 5)
-    assert not got[1]
+    send(0, 5)
+    send(1, 5)
+    await wait_until(lambda: len(received[0]) == 5)
+    assert not received[1]
     relay.fault_between("front-0", "*", "cut", 0)
     relay.fault_between("*", "front-1", "repeat", 1.0)
-    say(0, 5)
-    await until(lambda: len(got[1]) == 10)
+    send(0, 5)
+    await wait_until(lambda: len(received[1]) == 10)
     relay.fault_between("*", "front-1", "repeat", 0)
     relay.fault_between("*", "front-1", "reorder", 0.5)
-    got[1].clear()
-    say(0, 40)
-    await until(lambda: len(got[1]) == 40)
-    assert [int(data) for data in got[1]] != sorted(int(data) for data in got[1])
+    received[1].clear()
+    send(0, 40)
+    await wait_until(lambda: len(received[1]) == 40)
+    assert [int(data) for data in received[1]] != sorted(int(data) for data in received[1])
     relay.fault_between("*", "front-1", "reorder", 0)
     relay.fault_between("front-0", "front-1", "loss", 0.5)
-    got[1].clear()
-    say(0, 40)
-    say(1, 40)
-    await until(lambda: len(got[0]) == 45)
-    assert 5 <= len(got[1]) <= 35
+    received[1].clear()
+    send(0, 40)
+    send(1, 40)
+    await wait_until(lambda: len(received[0]) == 45)
+    assert 5 <= len(received[1]) <= 35
     for transport in fronts:
         transport.close()
     records.close()
