--- a/curlewhall/standins/platform.py
+++ b/curlewhall/standins/platform.py
@@ -17,6 +17,7 @@
 
 from .links import Flow, FlowEndpoint, LinkFaults, ignore_data, reset
 
+READ_BYTES = 65536
 LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER value with which a close sends a reset
 # Behaviours of a node that refuse a set-up, with their RTSP status.
 REFUSAL_STATUSES = {"full": 453, "error": 500, "moot": 454, "reset": 504}
@@ -331,7 +332,6 @@
 
 
 FINAL_KINDS = (messages.ANSWER, messages.RELEASE, messages.MOVE)
-READ_BYTES = 65536
 
 
 class Viewer:
