--- a/bench/drills.py
+++ b/bench/drills.py
@@ -1,10 +1,10 @@
-"""Plays a drill on many drawn seeds, with variants beside each other, and makes a table of it.
+"""Runs a drill with many seeds, in several variants, and writes a table of the results.
 
     python bench/drills.py badday --seeds 1 50 --out bench/results/badday \
         --variant module --variant "random lowest=--policy curlewhall.drills.baselines:RandomLowest"
 
-A variant is a label, "=" and more arguments for the drill. Results are kept one file a day under --work and
-not played again, so a run that was cut off goes on where it was.
+A variant is a label, "=" and further arguments of the drill. Each run's result is stored in a file under
+--work and not run again, so an interrupted benchmark continues where it stopped.
 """
 
 import argparse
@@ -17,7 +17,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-SUMS = (
+SUM_KEYS = (
     "plays",
     "served",
     "declined",
@@ -38,7 +38,7 @@
     "broken_files",
     "fronts_behind",
 )
-MEANS = (
+MEAN_KEYS = (
     "service",
     "worth",
     "stalled_share",
@@ -49,12 +49,13 @@
     "answer_p50_ms",
     "answer_p99_ms",
 )
-MOST = ("seam_longest", "restart_longest", "console_longest", "answer_longest_ms")
+MAX_KEYS = ("seam_longest", "restart_longest", "console_longest", "answer_longest_ms")
 
 
-def day(name: str, seed: int, more: list[str], out: Path) -> None:
+def run_drill(name: str, seed: int, arguments: list[str], out: Path) -> None:
+    """Run a drill with one seed unless its result is stored in `out`; prints the output of a failed run."""
     if not out.exists():
-        call = [
+        command = [
             sys.executable,
             "-m",
             "curlewhall",
@@ -64,9 +65,9 @@
             str(seed),
             "--json",
             str(out),
-            *more,
+            *arguments,
         ]
-        done = subprocess.run(call, cwd=ROOT, capture_output=True, text=True)
+        done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True)
         if not out.exists():
             print(f"{out.name}: {(done.stdout + done.stderr)[-500:]}", file=sys.stderr)
 
@@ -78,41 +79,44 @@
     return f"{statistics.mean(values):.3f} ± {1.96 * statistics.stdev(values) / len(values) ** 0.5:.3f}"
 
 
-def row(label: str, days: list[dict]) -> list[str]:
+def row(label: str, runs: list[dict]) -> list[str]:
+    """The cells of a variant's row."""
     broken: dict[str, int] = {}
-    for found in days:
-        for rule in found["broken"]:
+    for run in runs:
+        for rule in run["broken"]:
             broken[rule] = broken.get(rule, 0) + 1
-    kept = sum(not found["broken"] for found in days)
+    kept = sum(not run["broken"] for run in runs)
     cells = [
         label,
-        str(len(days)),
+        str(len(runs)),
         ", ".join(f"rule {r} on {n}" for r, n in sorted(broken.items())) or "none",
-        f"{kept}/{len(days)}",
+        f"{kept}/{len(runs)}",
     ]
-    there = days[0]
-    cells += [str(sum(found[key] for found in days)) for key in SUMS if key in there]
-    cells += [interval([found[key] for found in days]) for key in MEANS if key in there]
-    cells += [f"{max(found[key] for found in days):.2f}" for key in MOST if key in there]
+    first = runs[0]
+    cells += [str(sum(run[key] for run in runs)) for key in SUM_KEYS if key in first]
+    cells += [interval([run[key] for run in runs]) for key in MEAN_KEYS if key in first]
+    cells += [f"{max(run[key] for run in runs):.2f}" for key in MAX_KEYS if key in first]
     return cells
 
 
 def table(results: dict[str, list[dict]]) -> str:
-    there = next(days[0] for days in results.values() if days)
+    """A Markdown table with a row for each variant."""
+    first = next(runs[0] for runs in results.values() if runs)
     head = [
         "variant",
         "days",
         "rules broken",
         "kept",
-        *(key for key in SUMS if key in there),
-        *(key for key in MEANS if key in there),
-        *(f"{key} (most)" for key in MOST if key in there),
+        *(key for key in SUM_KEYS if key in first),
+        *(key for key in MEAN_KEYS if key in first),
+        *(f"{key} (most)" for key in MAX_KEYS if key in first),
     ]
-    rows = [head, ["---"] * len(head), *(row(label, days) for label, days in results.items() if days)]
+    rows = [head, ["---"] * len(head), *(row(label, runs) for label, runs in results.items() if runs)]
     return "\n".join(f"| {' | '.join(cells)} |" for cells in rows) + "\n"
 
 
 def main() -> None:
+    """Run all variants and write the tables."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("drill")
     parser.add_argument("--seeds", type=int, nargs=2, default=[1, 30], metavar=("FIRST", "LAST"))
@@ -120,32 +124,32 @@
     parser.add_argument("--jobs", type=int, default=max(1, (os.cpu_count() or 2) // 2))
     parser.add_argument("--work", default="found/drills")
     parser.add_argument("--out", required=True)
-    asked, more = parser.parse_known_args()
-    variants = [label.partition("=")[::2] for label in asked.variant or ["module"]]
+    args, arguments = parser.parse_known_args()
+    variants = [label.partition("=")[::2] for label in args.variant or ["module"]]
     results: dict[str, list[dict]] = {}
-    with ThreadPoolExecutor(asked.jobs) as pool:
+    with ThreadPoolExecutor(args.jobs) as pool:
         for label, extra in variants:
-            folder = Path(asked.work) / asked.drill / label.replace(" ", "-")
+            folder = Path(args.work) / args.drill / label.replace(" ", "-")
             folder.mkdir(parents=True, exist_ok=True)
-            paths = [folder / f"{seed}.json" for seed in range(asked.seeds[0], asked.seeds[1] + 1)]
+            paths = [folder / f"{seed}.json" for seed in range(args.seeds[0], args.seeds[1] + 1)]
             list(
                 pool.map(
-                    lambda path, extra=extra: day(
-                        asked.drill, int(path.stem), [*extra.split(), *more], path.resolve()
+                    lambda path, extra=extra: run_drill(
+                        args.drill, int(path.stem), [*extra.split(), *arguments], path.resolve()
                     ),
                     paths,
                 )
             )
             results[label] = [json.loads(path.read_text()) for path in paths if path.exists()]
-    one = next(days[0] for days in results.values() if days)
-    first, last = asked.seeds
+    any_run = next(runs[0] for runs in results.values() if runs)
+    first, last = args.seeds
     head = (
-        f"`drill {asked.drill}` on drawn seeds {first} to {last}, {one['seconds']:g} s each, "
-        f"{one['nodes']} stand-in nodes, {one['fronts']} fronts, all on one machine."
+        f"`drill {args.drill}` on drawn seeds {first} to {last}, {any_run['seconds']:g} s each, "
+        f"{any_run['nodes']} stand-in nodes, {any_run['fronts']} fronts, all on one machine."
     )
     text = f"{head}\n\n{table(results)}"
-    Path(asked.out + ".md").write_text(text)
-    Path(asked.out + ".json").write_text(json.dumps(results, indent=0) + "\n")
+    Path(args.out + ".md").write_text(text)
+    Path(args.out + ".json").write_text(json.dumps(results, indent=0) + "\n")
     print(text)
 
 
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -1,8 +1,9 @@
-"""What durability costs a front, how much it writes, and how long a start takes with many plays on disk.
+"""The cost of durability for a front, how much it writes, and how long a start takes with many plays on disk.
 
     python bench/recovery.py [--seconds S] [--out bench/results/recovery]
 
-Off, lagging and strict in one run; every play is a paid one, so that strict waits for the disk each time.
+Off, lagging and strict in one run. All plays are of a product with side effects, so that strict waits for the
+disk each time.
 """
 
 import argparse
@@ -17,7 +18,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from front import ask, listening, process, serve  # noqa: E402
+from front import process, run_load, serve, wait_until_serving  # noqa: E402
 from rig import plan_for  # noqa: E402
 
 from curlewhall.recovery import form  # noqa: E402
@@ -26,10 +27,11 @@
 from curlewhall.wire.timers import Timers  # noqa: E402
 
 RIG = str(Path(__file__).with_name("rig.py"))
-WAYS = {"off": None, "lagging": "LAGGING", "strict": "STRICT"}
+DURABILITIES = {"off": None, "lagging": "LAGGING", "strict": "STRICT"}
 
 
 def cost(seconds: float) -> list[str]:
+    """Table of throughput, latency and bytes written by durability."""
     rows = ["| durability | load | set-ups/s | p50 ms | p99 ms | bytes written a play |", "|" + " --- |" * 6]
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
@@ -38,19 +40,19 @@
         plain = file.read_text().replace("idempotency: PURE", "idempotency: SIDE_EFFECT")
         rate = 0.0
         with process([RIG, "nodes", str(folder / "plan.json")], 0, folder, "ready"):
-            for way, durability in WAYS.items():
+            for way, durability in DURABILITIES.items():
                 state = folder / f"state-{way}"
                 more = f'\nstate {{ folder: "{state}" durability: {durability} }}\n' if durability else ""
                 file.write_text(plain + more)
                 with serve(folder, "curlewhall.policy:Front"):
-                    listening(plan, folder)
-                    ask(folder, 0, 1.0)
-                    size = written(state)
-                    most = ask(folder, 0, seconds)
+                    wait_until_serving(plan, folder)
+                    run_load(folder, 0, 1.0)
+                    size = log_bytes(state)
+                    most = run_load(folder, 0, seconds)
                     rate = rate or most["rate"]
                     for load in ("most", "half"):
-                        found = most if load == "most" else ask(folder, rate / 2, seconds)
-                        grown, size = written(state) - size, written(state)
+                        found = most if load == "most" else run_load(folder, rate / 2, seconds)
+                        grown, size = log_bytes(state) - size, log_bytes(state)
                         count = sum(found["ends"].values())
                         rows.append(
                             f"| {way} | {load} | {found['rate']:.0f} | {found['p50']:.2f} | "
@@ -59,11 +61,13 @@
     return rows
 
 
-def written(folder: Path) -> int:
+def log_bytes(folder: Path) -> int:
+    """Size of all log files in a folder."""
     return sum(path.stat().st_size for path in folder.glob("log-*")) if folder.exists() else 0
 
 
 def starts() -> list[str]:
+    """Table of how long the state takes to load."""
     rows = [
         "| plays on disk | log MB | start s from the log | start s from a snapshot | snapshot MB |",
         "|" + " --- |" * 5,
@@ -92,22 +96,28 @@
             files.append(entries)
             log = files.log_bytes
             files.close()
-            spent = []
-            for _ in range(2):  # the first start reads the log and makes a snapshot, the second reads that
+            load_times = []
+            for _ in range(2):  # the first start reads the log and writes a snapshot, which the second reads
                 began = time.perf_counter()
-                again = StateFolder(name, 10_000)
-                again.open()
-                spent.append(time.perf_counter() - began)
-                assert len(again.state.playing) == count
-                again.close()
-            whole = len(form.encode_snapshot(again.state.entries()))
-            cells = (count, f"{log / 1e6:.1f}", f"{spent[0]:.2f}", f"{spent[1]:.2f}", f"{whole / 1e6:.2f}")
+                reopened = StateFolder(name, 10_000)
+                reopened.open()
+                load_times.append(time.perf_counter() - began)
+                assert len(reopened.state.playing) == count
+                reopened.close()
+            snapshot_bytes = len(form.encode_snapshot(reopened.state.entries()))
+            cells = (
+                count,
+                f"{log / 1e6:.1f}",
+                f"{load_times[0]:.2f}",
+                f"{load_times[1]:.2f}",
+                f"{snapshot_bytes / 1e6:.2f}",
+            )
             rows.append(f"| {' | '.join(map(str, cells))} |")
     return rows
 
 
 async def hour(rate: int, life: int) -> list[str]:
-    """An hour of plays in as little time as the disk takes: how large the folder becomes."""
+    """Write an hour's plays as fast as the disk allows and return a table of the folder's size."""
     with tempfile.TemporaryDirectory() as name:
         loop = asyncio.get_running_loop()
         files = StateFolder(name, 10_000)
@@ -151,13 +161,14 @@
 
 
 def main() -> None:
+    """Run all measurements and write the tables."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--seconds", type=float, default=5.0)
     parser.add_argument("--out", default="bench/results/recovery")
-    asked = parser.parse_args()
+    args = parser.parse_args()
     note = "14 stand-in nodes that answer at once, all on one machine; ratios within one run count."
-    text = "\n".join([*cost(asked.seconds), "", *starts(), "", *uvloop.run(hour(30, 120)), "", note])
-    Path(asked.out + ".md").write_text(text + "\n")
+    text = "\n".join([*cost(args.seconds), "", *starts(), "", *uvloop.run(hour(30, 120)), "", note])
+    Path(args.out + ".md").write_text(text + "\n")
     print(text)
 
 
--- a/bench/rig.py
+++ b/bench/rig.py
@@ -1,8 +1,7 @@
-"""What the measurements share: quick nodes that answer at once, an open-loop asker, processes on chosen
-cores.
+"""Shared parts of the benchmarks: nodes that answer at once, and a load generator.
 
-    python bench/rig.py nodes PLAN.json      nodes and list service of a plan, answering at once
-    python bench/rig.py load PLAN.json ...   asks on schedule or in a closed loop, prints one line of JSON
+python bench/rig.py nodes PLAN.json      nodes and list service of a plan, answering at once
+python bench/rig.py load PLAN.json ...   open- or closed-loop load generator, prints one line of JSON
 """
 
 import asyncio
@@ -28,22 +27,26 @@
 
 
 class QuickNode:
-    """Says yes to every set-up at once and ends the play after `life` seconds (0: never)."""
+    """A node that accepts every set-up at once and ends the play after `life` seconds (0: never)."""
 
     def __init__(self, loop, timers, spec: dict, life: float) -> None:
-        self.timers, self.name, self.life, self.streams = timers, spec["node"], life, {}
+        self.timers = timers
+        self.name = spec["node"]
+        self.life = life
+        self.streams = {}  # front -> its event stream
         self.server = Server(loop, timers, listen(spec["address"], spec["port"]), self.handle)
         self.report = {"link_asked": 0.3, "uplink_asked": 0.3}
 
     def handle(self, exchange) -> None:
+        """Answer one HTTP request."""
         target = exchange.request.target
         if target == "/v1/plays":
-            asked = forms.decode(forms.SetUp, exchange.request.body)
-            facts = asked.facts
-            done = forms.SetUpDone(self.name, facts.play, facts.number, self.report)
+            request = forms.decode(forms.SetUp, exchange.request.body)
+            info = request.facts
+            done = forms.SetUpDone(self.name, info.play, info.number, self.report)
             exchange.reply(201, {}, forms.encode(done))
             if self.life:
-                self.timers.after(self.life, self.end, asked.front, facts.play, facts.number)
+                self.timers.after(self.life, self.end, request.front, info.play, info.number)
         elif target.startswith("/v1/events"):
             self.streams[target.partition("front=")[2]] = exchange
             exchange.start(200, {})
@@ -54,12 +57,14 @@
             exchange.reply(204)
 
     def end(self, front: str, play: str, number: int) -> None:
+        """Report the end of a play to its front."""
         stream = self.streams.get(front)
         if stream is not None:
             stream.write(forms.encode(forms.Event("ended", play, number, how="ok")) + b"\n")
 
 
 async def nodes(plan: dict) -> None:
+    """Run the nodes and the list service of a plan; prints "ready" once they listen."""
     loop = asyncio.get_running_loop()
     timers = Timers(loop)
     for spec in plan["nodes"]:
@@ -74,7 +79,11 @@
 
 
 async def load(plan: dict, rate: float, seconds: float, straight: bool, window: int) -> None:
-    """Ask at `rate` a second on schedule, or (rate 0) with `window` requests always out."""
+    """Send `rate` requests per second on schedule or, with rate 0, keep `window` requests in flight.
+
+    `straight`: to the nodes, without a front. Prints the achieved rate, the answers and percentiles of the
+    latency in ms, counted from when each request was due.
+    """
     loop = asyncio.get_running_loop()
     timers = Timers(loop)
     front = plan["fronts"][0]
@@ -83,23 +92,26 @@
         if straight
         else [Pool(loop, timers, front["address"], front["port"], connect=2)]
     )
-    histogram, ends, late, count = HdrHistogram(1, 60_000_000, 3), {}, [0.0], [0]
+    histogram = HdrHistogram(1, 60_000_000, 3)  # microseconds
+    outcomes = {}  # HTTP status or kind of failure -> number of requests
+    max_send_delay = [0.0]  # seconds that a request was sent behind schedule
+    count = [0]
     titles = [title["title"] for title in plan["titles"]]
 
     def request(i: int):
         pool = pools[i % len(pools)]
         if straight:
-            facts = forms.PlayInfo(f"p{os.getpid()}-{i}", 0, "plain", "", "v", titles[0], 3, 1)
+            info = forms.PlayInfo(f"p{os.getpid()}-{i}", 0, "plain", "", "v", titles[0], 3, 1)
             return pool, request_bytes(
-                "POST", "/v1/plays", pool.host, forms.encode(forms.SetUp("nobody", facts, 3000.0))
+                "POST", "/v1/plays", pool.host, forms.encode(forms.SetUp("nobody", info, 3000.0))
             )
         return pool, request_bytes(
             "GET", f"/play/{titles[i % len(titles)]}?product=plain&viewer=v{i}", pool.host
         )
 
-    def answered(reply, due: float) -> None:
+    def count_reply(reply, due: float) -> None:
         status = reply.message.status if reply.ending == "ok" else reply.ending
-        ends[str(status)] = ends.get(str(status), 0) + 1
+        outcomes[str(status)] = outcomes.get(str(status), 0) + 1
         histogram.record_value(max(1, int((time.monotonic() - due) * 1e6)))
 
     begin = time.monotonic()
@@ -108,15 +120,15 @@
         total = int(rate * seconds)
 
         def end(reply, due):
-            answered(reply, due)
-            if sum(ends.values()) == total:
+            count_reply(reply, due)
+            if sum(outcomes.values()) == total:
                 done.set()
 
         for i in range(total):
             due = begin + i / rate
             while (wait := due - time.monotonic()) > 0:
                 await asyncio.sleep(wait)
-            late[0] = max(late[0], time.monotonic() - due)
+            max_send_delay[0] = max(max_send_delay[0], time.monotonic() - due)
             pool, data = request(i)
             pool.ask(data, 10.0, lambda reply, due=due: end(reply, due))
         await done.wait()
@@ -127,16 +139,16 @@
                 count[0] += 1
                 pool, data = request(count[0])
                 sent = time.monotonic()
-                answered(await pool.fetch(data, 10.0), sent)
+                count_reply(await pool.fetch(data, 10.0), sent)
 
         await asyncio.gather(*[worker() for _ in range(window)])
-    spent = time.monotonic() - begin
+    elapsed = time.monotonic() - begin
     print(
         json.dumps(
             {
-                "rate": sum(ends.values()) / spent,
-                "ends": ends,
-                "late_ms": late[0] * 1000,
+                "rate": sum(outcomes.values()) / elapsed,
+                "ends": outcomes,
+                "late_ms": max_send_delay[0] * 1000,
                 **{f"p{q}": histogram.get_value_at_percentile(q) / 1000 for q in (50, 99, 99.9)},
             }
         )
@@ -144,7 +156,7 @@
 
 
 def plan_for(folder: Path, count: int, life: float) -> dict:
-    """A plan whose links and streams never say no, so that every request is a set-up."""
+    """Write a plan and its files whose links and streams are never full, so that every request is set up."""
     plan = make_plan(1, count, 1, 60, folder)
     plan |= {"life": life}
     plan["list_service"]["lag"] = [0, 0]
@@ -166,12 +178,13 @@
 
 
 def main() -> None:
-    what, path, *more = sys.argv[1:]
+    """Run the command of the arguments."""
+    command, path, *arguments = sys.argv[1:]
     plan = json.loads(Path(path).read_text())
-    if what == "nodes":
+    if command == "nodes":
         uvloop.run(nodes(plan))
     else:
-        rate, seconds, straight, window = more
+        rate, seconds, straight, window = arguments
         uvloop.run(load(plan, float(rate), float(seconds), straight == "straight", int(window)))
 
 
