--- a/bench/fuzz_forms.py
+++ b/bench/fuzz_forms.py
@@ -1,10 +1,11 @@
-"""Any bytes to the readers of inventories, or to the decoder of datagrams, guided by coverage (atheris).
+"""Coverage-guided fuzzing (atheris) of the inventory readers and of the datagram decoder.
 
     python bench/fuzz_forms.py inventory -max_total_time=600 -rss_limit_mb=500 [folder of inputs]
     python bench/fuzz_forms.py members -max_total_time=600 -rss_limit_mb=300 [folder of inputs]
 
-Whatever comes is sound or refused in the stated way; anything else, and more memory than the bound, stops
-the run with the input kept. Not a part of CI, atheris neither: figures stand in the design notes.
+Every input must be accepted or refused with the documented error. Any other exception, or more memory than
+the limit, stops the run and saves the input. Neither this nor atheris is part of CI; results are in the
+design notes.
 """
 
 import sys
@@ -23,18 +24,19 @@
 
 
 def inventory(data: bytes) -> None:
-    given = atheris.FuzzedDataProvider(data)
-    way = given.ConsumeIntInRange(0, 4)
-    piece = given.ConsumeBytes(1 << 14)
+    """Read an inventory that is arbitrary, or a valid one with arbitrary text in it."""
+    provider = atheris.FuzzedDataProvider(data)
+    variant = provider.ConsumeIntInRange(0, 4)
+    piece = provider.ConsumeBytes(1 << 14)
     try:
         text = decode_text(piece)
-        if way == 0:
+        if variant == 0:
             csvform.read(text, places=9)
-        elif way == 1:
+        elif variant == 1:
             csvform.read(HEAD + LINE + text, "title,first_place,places,length_s\n" + text, 9)
-        elif way == 2:
+        elif variant == 2:
             yamlform.read(text, 9)
-        elif way == 3:
+        elif variant == 3:
             yamlform.read(YAML + text + "\n", 9)
         else:
             at = len(text) % len(YAML)
@@ -44,6 +46,7 @@
 
 
 def members(data: bytes) -> None:
+    """Decode a datagram, unsigned and signed; one that is accepted must encode to the same bytes."""
     for body in (
         data,
         datagram.HEADER.pack(datagram.MAGIC, datagram.VERSION << 4 | 1, 1, 2, 3, 4, 5, 6, 7, 1) + data,
@@ -57,6 +60,6 @@
 
 
 if __name__ == "__main__":
-    what = sys.argv.pop(1)
-    atheris.Setup(sys.argv, {"inventory": inventory, "members": members}[what])
+    target = sys.argv.pop(1)
+    atheris.Setup(sys.argv, {"inventory": inventory, "members": members}[target])
     atheris.Fuzz()
--- a/bench/fuzz_log.py
+++ b/bench/fuzz_log.py
@@ -1,10 +1,10 @@
-"""Damaged files for the reader of logs and snapshots, guided by coverage (atheris), for as long as asked.
+"""Coverage-guided fuzzing (atheris) of the reader of logs and snapshots.
 
     python bench/fuzz_log.py -max_total_time=600 [folder of inputs]
 
-Whatever bytes are read, the outcome is entries, `CorruptDataError` or `NewerFormatError`; anything else, and
-a reader that takes more than its stated memory, stops the run with the input kept. Not a part of CI, atheris
-neither: the figures of the last run are in `docs/recovery/design.md`.
+Every input must result in entries, `CorruptDataError` or `NewerFormatError`. Any other exception, or a reader
+that takes more than its documented memory, stops the run and saves the input. Neither this nor atheris is
+part of CI; the results of the last run are in `docs/recovery/design.md`.
 """
 
 import struct
@@ -31,26 +31,27 @@
     Reallocated(6),
 ]
 LOG = form.file_header(form.LOG_KIND) + b"".join(map(form.encode_entry, SEEDS))
-WHOLE = form.encode_snapshot(SEEDS)
+SNAPSHOT = form.encode_snapshot(SEEDS)
 
 
-def once(data: bytes) -> None:
-    given = atheris.FuzzedDataProvider(data)
-    way = given.ConsumeIntInRange(0, 4)
-    if way == 0:
+def read_damaged(data: bytes) -> None:
+    """Read a log and a snapshot that are arbitrary, or valid with arbitrary bytes in them."""
+    provider = atheris.FuzzedDataProvider(data)
+    variant = provider.ConsumeIntInRange(0, 4)
+    if variant == 0:
         raw = data
-    elif way == 1:  # a sound log with a piece exchanged
-        at, piece = given.ConsumeIntInRange(0, len(LOG)), given.ConsumeBytes(64)
+    elif variant == 1:  # a valid log with some bytes replaced
+        at, piece = provider.ConsumeIntInRange(0, len(LOG)), provider.ConsumeBytes(64)
         raw = LOG[:at] + piece + LOG[at + len(piece) :]
-    elif way == 2:  # sound frames around anything: past the checksum
-        payload = given.ConsumeBytes(4096)
+    elif variant == 2:  # a valid frame around arbitrary bytes, which passes the checksum
+        payload = provider.ConsumeBytes(4096)
         size = struct.pack("<I", len(payload))
         raw = LOG + form.ENTRY_HEADER.pack(len(payload), form.crc32c.crc32c(size + payload)) + payload
-    elif way == 3:
-        at, piece = given.ConsumeIntInRange(0, len(WHOLE)), given.ConsumeBytes(64)
-        raw = WHOLE[:at] + piece + WHOLE[at + len(piece) :]
-    else:  # a sound snapshot of anything
-        body = form.zstandard.ZstdCompressor().compress(given.ConsumeBytes(4096))
+    elif variant == 3:
+        at, piece = provider.ConsumeIntInRange(0, len(SNAPSHOT)), provider.ConsumeBytes(64)
+        raw = SNAPSHOT[:at] + piece + SNAPSHOT[at + len(piece) :]
+    else:  # a snapshot with valid compression and checksum around arbitrary bytes
+        body = form.zstandard.ZstdCompressor().compress(provider.ConsumeBytes(4096))
         raw = form.file_header(form.SNAPSHOT_KIND) + struct.pack("<I", form.crc32c.crc32c(body)) + body
     state = State(10_000)
     try:
@@ -73,5 +74,5 @@
 
 
 if __name__ == "__main__":
-    atheris.Setup(sys.argv, once)
+    atheris.Setup(sys.argv, read_damaged)
     atheris.Fuzz()
--- a/bench/moves.py
+++ b/bench/moves.py
@@ -1,8 +1,9 @@
-"""What the mover costs at 10,000 plays in one drain, and its heap against plain structures.
+"""The cost of the mover when a node with 10,000 plays drains, and of its heap beside simpler structures.
 
     python bench/moves.py [--plays N] [--out bench/results/moves]
 
-The mover alone on a made-up clock: no sockets, no module. Ratios within one run count.
+The mover alone on a simulated clock, without sockets or the decision module. Only ratios within one run are
+meaningful.
 """
 
 import argparse
@@ -17,14 +18,14 @@
 from curlewhall.moves import IndexedHeap, Mover  # noqa: E402
 from curlewhall.moves.decide import NodeInfo  # noqa: E402
 
-S = 10_000
+TICKS_PER_SECOND = 10_000
 START_SETTINGS = {
     "specifics.places": 40,
     "specifics.uplink_kb": 1e9,
     "specifics.kind_streams": [99_999],
     "fronts": 1,
-    "rules.warm_within": 5 * S,
-    "rules.fall": S,
+    "rules.warm_within": 5 * TICKS_PER_SECOND,
+    "rules.fall": TICKS_PER_SECOND,
     "rules.overload_factor": 4.0,
     "rules.start_capacity": 0.4,
     "specifics.told_late": 7000,
@@ -33,45 +34,46 @@
 
 
 class Sorted:
-    """A list kept in order; an entry is found by its old priority."""
+    """A sorted list; an entry is found by its old priority."""
 
     def __init__(self):
-        self.rows, self.held = [], {}
+        self.rows = []
+        self.priorities = {}
 
     def put(self, name, priority):
         self.remove(name)
-        self.held[name] = priority
+        self.priorities[name] = priority
         bisect.insort(self.rows, (priority, name))
 
     def remove(self, name):
-        if name in self.held:
-            del self.rows[bisect.bisect_left(self.rows, (self.held.pop(name), name))]
+        if name in self.priorities:
+            del self.rows[bisect.bisect_left(self.rows, (self.priorities.pop(name), name))]
 
     def pop(self):
         priority, name = self.rows.pop(0)
-        del self.held[name]
+        del self.priorities[name]
         return priority, name
 
 
 class Scan:
-    """A dictionary; the least is looked for when it is wanted."""
+    """A dictionary that is searched for the least entry on each `pop`."""
 
     def __init__(self):
-        self.held = {}
+        self.priorities = {}
 
     def put(self, name, priority):
-        self.held[name] = priority
+        self.priorities[name] = priority
 
     def remove(self, name):
-        self.held.pop(name, None)
+        self.priorities.pop(name, None)
 
     def pop(self):
-        name = min(self.held, key=lambda n: (self.held[n], n))
-        return self.held.pop(name), name
+        name = min(self.priorities, key=lambda n: (self.priorities[n], n))
+        return self.priorities.pop(name), name
 
 
 def structure(make, count: int) -> float:
-    """Microseconds an operation: all put in, each changed once (a buffer told), all taken out."""
+    """Microseconds per operation: add all entries, change as many as a buffer report does, take all out."""
     rng, rows = random.Random(1), make()
     began = time.perf_counter()
     for i in range(count):
@@ -86,9 +88,9 @@
 
 
 def drain(count: int, nodes: int) -> tuple[float, int, int]:
-    """Microseconds an event of a whole drain: (cost, events, moved)."""
-    rng, now, events = random.Random(2), 100 * S, 0
-    mover = Mover(now, START_SETTINGS, 600 * S)
+    """Simulate a whole drain; returns (microseconds per event, events, plays moved)."""
+    rng, now, events = random.Random(2), 100 * TICKS_PER_SECOND, 0
+    mover = Mover(now, START_SETTINGS, 600 * TICKS_PER_SECOND)
     rows = {f"n{i}": NodeInfo(i, i % 34, "serving", 1e8, 0) for i in range(nodes)}
     mover.nodes_listed(now, dict(rows))
     began = time.perf_counter()
@@ -98,9 +100,9 @@
         events += 2
     rows["n0"] = rows["n0"]._replace(state="draining")
     pending, moved = list(mover.nodes_listed(now, dict(rows))), 0
-    while mover.plays_by_node["n0"] and now < 700 * S:
+    while mover.plays_by_node["n0"] and now < 700 * TICKS_PER_SECOND:
         now += 200
-        for i in range(1, nodes, 10):  # reports come in all the time
+        for i in range(1, nodes, 10):  # load reports arrive all the time
             mover.node_reported(now, f"n{i}", "link_asked", 0.3)
             mover.node_reported(now, f"n{i}", "uplink_asked", 0.3)
             events += 2
@@ -120,26 +122,27 @@
 
 
 def main() -> None:
+    """Run all measurements and write the table."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--plays", type=int, default=10_000)
     parser.add_argument("--out", default="bench/results/moves")
-    asked = parser.parse_args()
+    args = parser.parse_args()
     rows = ["| structure | plays | us an operation | over the heap |", "| --- | --- | --- | --- |"]
-    for count in (100, 1000, asked.plays):
+    for count in (100, 1000, args.plays):
         heap = structure(IndexedHeap, count)
         for make in (IndexedHeap, Sorted, Scan):
             cost = structure(make, count)
             rows.append(f"| {make.__name__} | {count} | {cost:.2f} | {cost / heap:.2f} |")
-    cost, events, moved = drain(asked.plays, 170)
+    cost, events, moved = drain(args.plays, 170)
     rows += [
         "",
-        f"One drain of {asked.plays} plays at 170 nodes: {moved} moved, {events} events, "
+        f"One drain of {args.plays} plays at 170 nodes: {moved} moved, {events} events, "
         f"{cost:.1f} us an event on average (aim: under 50).",
         "",
-        "The mover alone on a made-up clock, one run on a shared machine.",
+        "The mover alone on a simulated clock, one run on a shared machine.",
     ]
     text = "\n".join(rows) + "\n"
-    Path(asked.out + ".md").write_text(text)
+    Path(args.out + ".md").write_text(text)
     print(text)
 
 
--- a/tests/members/test_members.py
+++ b/tests/members/test_members.py
@@ -135,7 +135,7 @@
     world.fronts[5] = MembershipProtocol(
         world.now, 5, [i for i in range(12) if i != 5], 99
     )  # restarted: incarnations start from 1 again
-    world.carry(5, world.fronts[5].start(world.now))
+    world.execute(5, world.fronts[5].start(world.now))
     assert (
         world.run(world.now + 30 * TICKS_PER_SECOND, lambda: world.all_hold(5, (ALIVE, SUSPECT))) is not None
     )
@@ -164,15 +164,15 @@
     actions = list(front.wake(world.now))
     assert ("log", "this front was paused; pinging members before declaring any of them dead") in actions
     assert {i: m.state for i, m in front.members.items()} == before
-    world.carry(2, actions)
+    world.execute(2, actions)
     assert world.run(world.now + 30 * TICKS_PER_SECOND, lambda: world.all_hold(2, (ALIVE,))) is not None
     assert front.member_count() == 8
 
 
 def test_link_cut_in_one_direction_is_bridged_by_indirect_pings():
     world = World(6, 0.0, 4)
-    hear = world.hear
-    world.hear = lambda to, sender, *facts: None if (to, sender) == (1, 0) else hear(to, sender, *facts)
+    deliver = world.deliver
+    world.deliver = lambda to, sender, *facts: None if (to, sender) == (1, 0) else deliver(to, sender, *facts)
     world.run(200 * TICKS_PER_SECOND)
     assert world.false_dead == 0 and all(f.member_count() == 6 for f in world.living())
 
@@ -180,7 +180,7 @@
 def test_front_that_leaves_is_known_as_left_and_not_as_dead():
     world = World(6, 0.0, 5)
     world.run(20 * TICKS_PER_SECOND)
-    world.carry(3, world.fronts[3].leave(world.now))
+    world.execute(3, world.fronts[3].leave(world.now))
     world.dead.add(3)
     assert world.run(world.now + 10 * TICKS_PER_SECOND, lambda: world.all_hold(3, (LEFT,))) is not None
     assert world.false_dead == 0
