--- a/bench/front.py
+++ b/bench/front.py
@@ -160,12 +160,12 @@
         for key, found in result.items():
             if key == "nodes":
                 continue
-            way, load = key.split(", ")
+            policy, load = key.split(", ")
             straight = result.get(f"straight, {load}")
-            over = f"+{found['p99'] - straight['p99']:.1f} ms" if straight and way != "straight" else ""
+            over = f"+{found['p99'] - straight['p99']:.1f} ms" if straight and policy != "straight" else ""
             cpu = f"{found['cpu']:.0%}" if "cpu" in found else ""
             rows.append(
-                f"| {result['nodes']} | {way} | {load} | {found['rate']:.0f} | {found['p50']:.2f} | "
+                f"| {result['nodes']} | {policy} | {load} | {found['rate']:.0f} | {found['p50']:.2f} | "
                 f"{found['p99']:.2f} | {found['p99.9']:.2f} | {cpu} | {over} |"
             )
     memory_line = (
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -40,8 +40,8 @@
         plain = file.read_text().replace("idempotency: PURE", "idempotency: SIDE_EFFECT")
         rate = 0.0
         with process([RIG, "nodes", str(folder / "plan.json")], 0, folder, "ready"):
-            for way, durability in DURABILITIES.items():
-                state = folder / f"state-{way}"
+            for label, durability in DURABILITIES.items():
+                state = folder / f"state-{label}"
                 more = f'\nstate {{ folder: "{state}" durability: {durability} }}\n' if durability else ""
                 file.write_text(plain + more)
                 with serve(folder, "curlewhall.policy:Front"):
@@ -55,7 +55,7 @@
                         grown, size = log_bytes(state) - size, log_bytes(state)
                         count = sum(found["ends"].values())
                         rows.append(
-                            f"| {way} | {load} | {found['rate']:.0f} | {found['p50']:.2f} | "
+                            f"| {label} | {load} | {found['rate']:.0f} | {found['p50']:.2f} | "
                             f"{found['p99']:.2f} | {max(0, grown) / count:.0f} |"
                         )
     return rows
--- a/bench/sites.py
+++ b/bench/sites.py
@@ -1,10 +1,10 @@
-"""The drills of whole sites over processes: the program as it is beside an earlier version, drawn seeds.
+"""The drills of whole sites, run over processes: the current version compared with an earlier one.
 
     python -m bench.sites REV [SEEDS [DRILL ...]]     writes bench/results/sites.md and sites.json
 
-Same rig, same seeds, both versions at the same time on one machine; stand-ins on loopback. REV is checked out
-beside the repository for as long as it takes. Service: answered with a play over asked, in the ten seconds
-after the loss, all seeds together.
+Both versions run at the same time on one machine, with the same set-up and seeds and stand-ins on loopback.
+REV is checked out into a temporary worktree. Service is plays served over plays requested in the ten seconds
+after the loss, over all seeds.
 """
 
 import json
@@ -17,10 +17,10 @@
 
 from curlewhall.drills.sites import SITES
 
-NODES, SECONDS, TOGETHER = 18, 24.0, 8
-BESIDE = 10  # seeds that the earlier version plays too
+NODES, SECONDS, PARALLEL_RUNS = 18, 24.0, 8
+COMPARED_SEEDS = 10  # the earlier version runs the first so many seeds only
 PRODUCTS = ("paid", "dear", "plain")
-ONE = """
+RUN_SCRIPT = """
 import json, sys
 from curlewhall.drills.play import Day, run
 from curlewhall.drills.sites import SITES
@@ -34,10 +34,10 @@
 
 
 def play(job):
-    """One day in a process of its own: a drill ends by signals, and owns its process's."""
-    name, seed, program, at = job
+    """Run a drill in a process of its own, because it handles the process's signals."""
+    name, seed, program, worktree = job
     done = subprocess.run(
-        [sys.executable, "-c", ONE % (SECONDS, NODES), name, str(seed), at],
+        [sys.executable, "-c", RUN_SCRIPT % (SECONDS, NODES), name, str(seed), worktree],
         capture_output=True,
         text=True,
         timeout=300,
@@ -48,7 +48,7 @@
 
 
 def summary(rows):
-    """A line for each drill and program."""
+    """Lines of a Markdown table with a row for each drill and version."""
     heads = [
         "drill",
         "program",
@@ -71,7 +71,7 @@
                 for r in rows
                 if r["drill"] == name
                 and r["program"] == program.partition(",")[0]
-                and (r.get("seed", 0) <= BESIDE or "all" in program)
+                and (r.get("seed", 0) <= COMPARED_SEEDS or "all" in program)
                 and "error" not in r
             ]
             if not some:
@@ -96,7 +96,7 @@
 
 
 def kinds(rows):
-    """Service of the dearest and of all by what was drawn."""
+    """Lines of a Markdown table of the service of `paid` and of all products, by the kind of trouble."""
     lines = ["| drill | kind | days | paid before | paid now | all before | all now |", "|" + " --- |" * 7]
     for name, kind in sorted({(r["drill"], r["troubles"][2]) for r in rows if "error" not in r}):
         cells = []
@@ -106,7 +106,7 @@
                 for row in rows:
                     if (
                         "error" not in row
-                        and row["seed"] <= BESIDE
+                        and row["seed"] <= COMPARED_SEEDS
                         and (row["drill"], row["troubles"][2], row["program"]) == (name, kind, program)
                     ):
                         for product in (what,) if what else PRODUCTS:
@@ -118,7 +118,7 @@
             and "error" not in r
             and r["troubles"][2] == kind
             and r["program"] == "now"
-            and r["seed"] <= BESIDE
+            and r["seed"] <= COMPARED_SEEDS
             for r in rows
         )
         lines.append(f"| {name} | {kind} | {days} | {' | '.join(cells)} |")
@@ -126,6 +126,7 @@
 
 
 def write(rows, seeds):
+    """Write the raw results and the tables."""
     results = Path(__file__).parent / "results"
     (results / "sites.json").write_text(json.dumps(rows) + "\n")
     errors = [f"- {r['drill']}, seed {r['seed']}, {r['program']}: {r['error']}" for r in rows if "error" in r]
@@ -135,8 +136,8 @@
                 "# A whole site lost, cut off, coming and going, coming back (processes on loopback)",
                 "",
                 f"`python -m bench.sites`: stand-ins, {NODES} nodes in two zones, 8 fronts, {SECONDS:.0f} s, "
-                f"{seeds} drawn seeds a drill, both programs on the first {BESIDE}, "
-                f"{TOGETHER} days at a time.",
+                f"{seeds} drawn seeds a drill, both programs on the first {COMPARED_SEEDS}, "
+                f"{PARALLEL_RUNS} days at a time.",
                 "",
                 *summary(rows),
                 "",
@@ -152,26 +153,29 @@
 
 
 def main(rev, seeds, names):
+    """Run the drills with both versions; writes the results as they come."""
     rows = []
     with tempfile.TemporaryDirectory() as folder:
-        there = str(Path(folder) / "before")
-        subprocess.run(["git", "worktree", "add", "--detach", there, rev], check=True, capture_output=True)
+        worktree = str(Path(folder) / "before")
+        subprocess.run(["git", "worktree", "add", "--detach", worktree, rev], check=True, capture_output=True)
         try:
             jobs = [
                 (name, seed, program, at)
                 for seed in range(1, seeds + 1)
                 for name in names
-                for program, at in (("before", there), ("now", ""))
-                if not at or seed <= BESIDE
+                for program, at in (("before", worktree), ("now", ""))
+                if not at or seed <= COMPARED_SEEDS
             ]
-            with ThreadPoolExecutor(TOGETHER) as pool:
+            with ThreadPoolExecutor(PARALLEL_RUNS) as pool:
                 for row in pool.map(play, jobs):
                     rows.append(row)
                     if len(rows) % len(names) == 0:
                         write(rows, seeds)
                         print(len(rows), "of", len(jobs), flush=True)
         finally:
-            subprocess.run(["git", "worktree", "remove", "--force", there], check=True, capture_output=True)
+            subprocess.run(
+                ["git", "worktree", "remove", "--force", worktree], check=True, capture_output=True
+            )
     write(rows, seeds)
 
 
--- a/bench/start_fleet.py
+++ b/bench/start_fleet.py
@@ -1,9 +1,9 @@
-"""Fronts as processes that all end and begin at one moment: the program as it is, beside an earlier version.
+"""Front processes that all stop and start at once: the current version compared with an earlier one.
 
     python -m bench.start_fleet REV      writes bench/results/start-fleet.md and start-fleet.json
 
-Same rig, same seeds, both versions at the same time on one machine; stand-ins on loopback. REV is checked out
-beside the repository for as long as it takes. Times are from the moment at which the last front was started.
+Both versions run at the same time on one machine, with the same set-up and seeds and stand-ins on loopback.
+REV is checked out into a temporary worktree. Times count from the start of the last front.
 """
 
 import json
@@ -20,32 +20,39 @@
 from curlewhall.rules.judge import summary
 
 FRONTS, NODES, SECONDS = 24, 20, 40.0
-FIRST = 30.0  # seconds after the start over which service is counted
+SERVICE_WINDOW_S = 30.0  # after the start
 
 
 def warm(rng, plan, day):
-    """Nobody ends: the same load on a warm fleet."""
+    """No front stops: the same load on running fronts."""
     return [], {}
 
 
 def blind(rng, plan, day):
-    """The service is away, a fifth of the kept list lies where another machine answers."""
+    """The list service is down, and other machines answer at a fifth of the addresses of the stored list."""
     return start.blind(rng, plan, day, 0.2, 0.0)
 
 
 def aged(rng, plan, day):
-    """The same of a list three days old."""
+    """As `blind`, with a stored list that is three days old."""
     return start.blind(rng, plan, day, 0.2, 3.0)
 
 
 def slow(rng, plan, day):
-    """No lists kept, the service at a tenth of what is asked of it, shedding by 503."""
+    """No stored lists; the list service has a tenth of the needed capacity and answers the rest with 503."""
     steps, claims = start.slow(rng, plan, day)
     return [step for step in steps if "silent" not in step], claims
 
 
-SCENES = {"warm": warm, "herd": start.well, "slow": slow, "blind": blind, "aged": aged, "split": start.split}
-SHOWN = (
+SCENARIOS = {
+    "warm": warm,
+    "herd": start.well,
+    "slow": slow,
+    "blind": blind,
+    "aged": aged,
+    "split": start.split,
+}
+REPORTED_KEYS = (
     "asks",
     "asks_in_a_second",
     "shed",
@@ -59,38 +66,43 @@
 )
 
 
-def service(rows, scene):
-    """The importance answered within its target over that asked, in the first seconds after the start; and
-    the same without the requests that came before any process listened.
+def service(rows, scenario):
+    """Service in the first seconds after the start, of all requests, and of those that reached a front.
+
+    Service is the importance answered within its first-frame target over the importance requested.
     """
     began = start.again(rows)
-    if scene == "warm":
+    if scenario == "warm":
         began = min(row["t"] for row in rows if row["what"] == "ask") + int(start.END * SECONDS * 10_000)
     within = [
         row
         for row in rows
         if row["what"] not in ("ask", "answer", "no_answer", "hung_up")
-        or began <= row["t"] <= began + FIRST * 10_000 + 50_000
+        or began <= row["t"] <= began + SERVICE_WINDOW_S * 10_000 + 50_000
     ]
-    asks = {r["ask"] for r in within if r["what"] == "ask" and r["t"] <= began + FIRST * 10_000}
-    nobody = {r["ask"] for r in rows if r["what"] == "no_answer" and r["how"] == "unreached"}
+    requests = {
+        r["ask"] for r in within if r["what"] == "ask" and r["t"] <= began + SERVICE_WINDOW_S * 10_000
+    }
+    unreached = {r["ask"] for r in rows if r["what"] == "no_answer" and r["how"] == "unreached"}
     return [
         summary([r for r in within if r["what"] not in ("ask", "answer") or r["ask"] in some])["service"]
-        for some in (asks, asks - nobody)
+        for some in (requests, requests - unreached)
     ]
 
 
-def play(scene, seed, at, folder):
+def play(scenario, seed, worktree, folder):
+    """Run a drill with fronts of the version in `worktree`, or of the current one; returns its results."""
+
     def make(rng, plan, day):
-        if at:
-            plan["fronts_at"] = at
-        return start.drill(SCENES[scene], rng, plan, day)
+        if worktree:
+            plan["fronts_at"] = worktree
+        return start.drill(SCENARIOS[scenario], rng, plan, day)
 
     day = Day(SECONDS, NODES, FRONTS, seed, True, keep=str(folder))
-    report = run(f"start-{scene}", make, day).report
+    report = run(f"start-{scenario}", make, day).report
     rows = records.merged([folder / f"{who}.jsonl" for who in ("fleet", "crowd", "drill")])
-    return {name: report[name] for name in SHOWN} | {
-        **dict(zip(("service", "service_of_taken"), service(rows, scene), strict=True)),
+    return {name: report[name] for name in REPORTED_KEYS} | {
+        **dict(zip(("service", "service_of_taken"), service(rows, scenario), strict=True)),
         "broken": sum(report["broken"].values()),
         "unanswered": report["unanswered"],
         "lag_ms": report["lag_ms"],
@@ -98,27 +110,31 @@
 
 
 def main(rev, seeds=(1,)):
+    """Run every scenario with both versions; writes the results after each."""
     rows = []
     with tempfile.TemporaryDirectory() as folder:
-        there = str(Path(folder) / "before")
-        subprocess.run(["git", "worktree", "add", "--detach", there, rev], check=True, capture_output=True)
+        worktree = str(Path(folder) / "before")
+        subprocess.run(["git", "worktree", "add", "--detach", worktree, rev], check=True, capture_output=True)
         try:
             for seed in seeds:
-                for scene in SCENES:
+                for scenario in SCENARIOS:
                     with ProcessPoolExecutor(2) as pool:
                         jobs = {
-                            name: pool.submit(play, scene, seed, at, Path(folder) / f"{scene}-{name}")
-                            for name, at in (("before", there), ("now", None))
+                            name: pool.submit(play, scenario, seed, at, Path(folder) / f"{scenario}-{name}")
+                            for name, at in (("before", worktree), ("now", None))
                         }
                         for name, job in jobs.items():
-                            rows.append({"scene": scene, "seed": seed, "program": name, **job.result()})
+                            rows.append({"scene": scenario, "seed": seed, "program": name, **job.result()})
                             print(json.dumps(rows[-1]), flush=True)
                     write(rows)
         finally:
-            subprocess.run(["git", "worktree", "remove", "--force", there], check=True, capture_output=True)
+            subprocess.run(
+                ["git", "worktree", "remove", "--force", worktree], check=True, capture_output=True
+            )
 
 
 def write(rows):
+    """Write the raw results and a Markdown table of them."""
     results = Path(__file__).parent / "results"
     (results / "start-fleet.json").write_text(json.dumps(rows, indent=1) + "\n")
     (results / "start-fleet.md").write_text(
