--- a/curlewhall/daemon/__init__.py
+++ b/curlewhall/daemon/__init__.py
@@ -1,6 +1,7 @@
-"""A front that lives long: started, watched, replaced by a successor without a viewer noticing.
+"""A front as a daemon: supervised, restarted after crashes, and replaced by a successor unnoticed by viewers.
 
-`decide` is what the daemon does about its workers (no I/O), `run` the daemon's process, `worker` a front
-under it, `handover` what a front gives to its successor and takes from its predecessor, `channel` the
-connection on which it goes. See `docs/daemon/design.md` and `guide.md`.
+`decide` is the supervisor's logic (no I/O), `run` the daemon's process, `worker` the process of a front under
+it, `handover` the transfer of a front's state to its successor, `channel` the messages between processes,
+`control` the client of the daemon's control socket, `notify` the notifications to a service manager. See
+`docs/daemon/design.md` and `guide.md`.
 """
--- a/curlewhall/daemon/channel.py
+++ b/curlewhall/daemon/channel.py
@@ -1,8 +1,8 @@
-"""Messages between the processes of a daemon, with open sockets along (SCM_RIGHTS, unix(7)).
+"""Messages between the processes of a daemon, which may carry open sockets (SCM_RIGHTS, unix(7)).
 
-A pair of SOCK_SEQPACKET sockets: a message arrives whole or not at all, and a process that ends, however it
-ends, is told by the end of the stream. `loop.sock_*` has no call that carries descriptors, so the loop only
-tells when there is something to read or room to write.
+A channel is a pair of SOCK_SEQPACKET sockets: a message arrives whole or not at all, and the end of the
+stream reports that the other process has ended, for whatever reason. `loop.sock_*` has no call that passes
+descriptors, so the loop is used only to wait until the socket is readable or writable.
 """
 
 import contextlib
@@ -13,14 +13,15 @@
 
 import msgspec
 
-LARGEST = 1 << 17  # bytes of a message; the kernel's buffer of a pair takes 208 KiB at least on Linux
-FDS = 8  # descriptors that come with one message at most
+MAX_MESSAGE_BYTES = 1 << 17  # the socket buffer of a pair holds at least 208 KiB on Linux
+MAX_DESCRIPTORS = 8  # per message
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(list).decode
 
 
 def pair() -> tuple[socket.socket, socket.socket]:
+    """The two non-blocking sockets of a new channel."""
     one, other = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     for end in (one, other):
         end.setblocking(False)
@@ -28,39 +29,44 @@
 
 
 class Channel:
-    """One end. `heard(kind, facts, fds)` is called for each message, `ended()` once when the other is gone.
+    """One end of a channel.
 
-    Messages are lists: a word that says their kind, then facts of msgpack's types. Sent descriptors are
-    closed here once they are on their way; those that come belong to whoever hears them.
+    Calls `on_message(kind, values, fds)` for each message and `on_closed()` once after the channel was closed
+    by either side. A message is a list: its kind, then values of msgpack's types. Descriptors that are sent
+    are closed here after sending; descriptors that are received belong to `on_message`.
     """
 
     def __init__(
         self,
         loop,
         sock: socket.socket,
-        heard: Callable[[str, list, list[int]], None],
-        ended: Callable[[], None],
+        on_message: Callable[[str, list, list[int]], None],
+        on_closed: Callable[[], None],
     ) -> None:
-        self.loop, self.sock, self.heard, self.ended = loop, sock, heard, ended
+        self.loop = loop
+        self.sock = sock
+        self.on_message = on_message
+        self.on_closed = on_closed
         sock.setblocking(False)
         self.queue: deque[tuple[bytes, list[int]]] = deque()
         self.closed = self.writing = False
         loop.add_reader(sock, self.read)
 
-    def send(self, kind: str, *facts, fds: tuple[int, ...] = ()) -> None:
-        """Say something; nothing happens where the other side has gone."""
-        data = _encode([kind, *facts])
-        if len(data) > LARGEST:
-            raise ValueError(f"a message of {len(data)} bytes, {LARGEST} at most")
+    def send(self, kind: str, *values, fds: tuple[int, ...] = ()) -> None:
+        """Queue a message; closes `fds`. Does nothing more on a closed channel. `ValueError`: too long."""
+        data = _encode([kind, *values])
+        if len(data) > MAX_MESSAGE_BYTES:
+            raise ValueError(f"message of {len(data)} bytes, expected {MAX_MESSAGE_BYTES} at most")
         if self.closed:
-            for number in fds:
-                os.close(number)
+            for descriptor in fds:
+                os.close(descriptor)
             return
         self.queue.append((data, list(fds)))
         if not self.writing:
             self.write()
 
     def write(self) -> None:
+        """Send queued messages until the socket's buffer is full."""
         while self.queue:
             data, fds = self.queue[0]
             try:
@@ -77,16 +83,17 @@
                 self.close()
                 return
             self.queue.popleft()
-            for number in fds:
-                os.close(number)
+            for descriptor in fds:
+                os.close(descriptor)
         if self.writing:
             self.writing = False
             self.loop.remove_writer(self.sock)
 
     def read(self) -> None:
+        """Receive messages until the socket has none."""
         while not self.closed:
             try:
-                data, fds, _, _ = socket.recv_fds(self.sock, LARGEST, FDS)
+                data, fds, _, _ = socket.recv_fds(self.sock, MAX_MESSAGE_BYTES, MAX_DESCRIPTORS)
             except BlockingIOError:
                 return
             except OSError:
@@ -94,20 +101,21 @@
             if not data:
                 self.close()
                 return
-            for number in fds:
-                os.set_inheritable(number, False)
+            for descriptor in fds:
+                os.set_inheritable(descriptor, False)
             try:
-                kind, *facts = _decode(data)
+                kind, *values = _decode(data)
             except (msgspec.DecodeError, ValueError):
-                self.close()  # not one of ours at the other end
+                self.close()  # the other end is no daemon process
                 return
-            self.heard(kind, facts, list(fds))
+            self.on_message(kind, values, list(fds))
 
-    def flush(self) -> bool:
-        """Whether all that was said is on its way."""
+    def all_sent(self) -> bool:
+        """Whether every queued message was sent."""
         return not self.queue
 
     def close(self) -> None:
+        """Close the socket and the descriptors of unsent messages."""
         if self.closed:
             return
         self.closed = True
@@ -115,9 +123,9 @@
         if self.writing:
             self.loop.remove_writer(self.sock)
         for _, fds in self.queue:
-            for number in fds:
+            for descriptor in fds:
                 with contextlib.suppress(OSError):
-                    os.close(number)
+                    os.close(descriptor)
         self.queue.clear()
         self.sock.close()
-        self.loop.call_soon(self.ended)
+        self.loop.call_soon(self.on_closed)
--- a/curlewhall/daemon/run.py
+++ b/curlewhall/daemon/run.py
@@ -1,6 +1,6 @@
 """The daemon's own process: holds the listening sockets, starts workers, answers on its control socket.
 
-It holds no play and decides nothing about one; what it does about workers is decided by `decide`.
+It handles no play. `decide.Supervisor` decides what is done about workers; `Daemon` executes its actions.
 """
 
 import asyncio
@@ -22,250 +22,284 @@
 from curlewhall.wire.timers import Timers
 
 from .channel import Channel, pair
-from .control import CONTROL, PID, folder_of
-from .decide import SECOND, Supervisor
+from .control import CONTROL_SOCKET, PID_FILE, folder_of
+from .decide import TICKS_PER_SECOND, Supervisor
 from .notify import Notify
 
-WAITING = 1000  # connections that wait for one worker at most; as many descriptors
-SAID = 40  # bytes of a request on the control socket: a word and a newline
+MAX_WAITING_CONNECTIONS = 1000  # per slot, while its worker starts; each holds a descriptor
+MAX_COMMAND_BYTES = 40  # a command on the control socket and its newline
 
 
 class FolderInUseError(CurlewhallError):
-    """Another daemon runs with this folder."""
+    """The daemon folder belongs to another daemon or can be entered by others."""
 
     remedy = (
-        "Stop the daemon that has the folder, or name another one in daemon.folder; its " "mode must be 700."
+        "Stop the daemon that uses the folder, or set daemon.folder to another one; its mode must be 700."
     )
 
 
-def now() -> int:
-    return int(time.monotonic() * SECOND)
+def now_ticks() -> int:
+    """The monotonic clock in ticks of 0.1 ms."""
+    return int(time.monotonic() * TICKS_PER_SECOND)
 
 
-NO = (
+UNAVAILABLE_RESPONSE = (
     b"HTTP/1.1 503 Service Unavailable\r\nretry-after: 1\r\ncontent-length: 0\r\n"
     b"connection: close\r\n\r\n"
 )
 
 
-def turn_away(sock: socket.socket) -> None:
-    """Say no to those who wait in a listening socket while no worker is there to do it."""
+def refuse_queued_connections(sock: socket.socket) -> None:
+    """Answer 503 to the connections in a listening socket's queue when no worker can do it."""
     with contextlib.suppress(OSError):
         while True:
-            line, _ = sock.accept()
-            line.setblocking(False)
-            with line, contextlib.suppress(OSError):
-                line.recv(1 << 16)  # what is unread when it closes resets it
-                line.send(NO)
+            connection, _ = sock.accept()
+            connection.setblocking(False)
+            with connection, contextlib.suppress(OSError):
+                connection.recv(1 << 16)  # closing with unread bytes would reset the connection
+                connection.send(UNAVAILABLE_RESPONSE)
 
 
-class Process:
+class WorkerProcess:
     """A worker's process and the channel to it."""
 
     def __init__(self, number: int, slot: int, popen: subprocess.Popen) -> None:
-        self.number, self.slot, self.popen = number, slot, popen
+        self.number = number
+        self.slot = slot
+        self.popen = popen
         self.channel = None
         self.pidfd = os.pidfd_open(popen.pid)
-        self.ponged = now()
-        self.state: dict = {}
+        self.last_pong_at = now_ticks()
+        self.status: dict = {}  # the last answer to "state"
 
 
 class Daemon:
-    """Runs until it is told to stop. `OSError` and `FolderInUseError` from `open` say why it can't start."""
+    """Runs workers until it is stopped. `open` raises `OSError` or `FolderInUseError` if it can't start.
+
+    `policy` and `mover` are MODULE:CLASS names that are passed on to the workers.
+    """
 
     def __init__(self, path: str, file: front_pb2.FrontFile, log, policy: str = "", mover: str = "") -> None:
-        self.path, self.file, self.log = path, file, log
-        self.named = [policy, mover] if mover else [policy] if policy else []
+        self.path = path
+        self.file = file
+        self.log = log
+        self.class_names = [policy, mover] if mover else [policy] if policy else []
         self.loop = asyncio.get_running_loop()
-        self.timers, self.notify = Timers(self.loop), Notify()
-        self.count = file.daemon.workers or 1
-        self.supervisor = Supervisor(self.count)
-        self.processes: dict[int, Process] = {}
-        self.sockets: list[socket.socket] = []
-        self.folder, self.lock, self.control, self.page = folder_of(file), None, None, None
-        self.waiting: dict[str, list[asyncio.Future]] = {}
-        self.said: deque[str] = deque(maxlen=20)
-        self.drained: set[str] = set()  # nodes that an operator drained at one worker of several
-        self.held: dict[int, list[tuple[bytes, int]]] = {}  # connections that wait for a worker
-        self.over = self.loop.create_future()
-        self.began, self.asks = time.time(), 0
+        self.timers = Timers(self.loop)
+        self.notify = Notify()
+        self.worker_count = file.daemon.workers or 1
+        self.supervisor = Supervisor(self.worker_count)
+        self.processes: dict[int, WorkerProcess] = {}  # by worker number
+        self.sockets: list[socket.socket] = []  # for viewers: one, or one per slot with daemon.reuse_port
+        self.folder = folder_of(file)
+        self.lock = None  # descriptor of the locked pid file
+        self.control = None  # listening control socket
+        self.console_socket = None
+        self.pending_commands: dict[str, list[asyncio.Future]] = {}
+        self.messages: deque[str] = deque(maxlen=20)  # shown by `curlewhall status`
+        self.drained_nodes: set[str] = set()  # drained by an operator at one worker of several
+        self.waiting_connections: dict[int, list[tuple[bytes, int]]] = {}  # by slot: first bytes, descriptor
+        self.finished = self.loop.create_future()
+        self.started_at = time.time()
+        self.status_requests = 0
 
     # ---- sockets and files
 
     def open(self) -> None:
-        """The folder, the lock, the control socket and the viewers' socket; all or nothing."""
+        """Create the folder, take its lock, and open the listening sockets and the control socket."""
         self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
         if os.stat(self.folder).st_uid != os.getuid() or os.stat(self.folder).st_mode & 0o077:
             raise FolderInUseError(
                 f"{self.folder}: expected a folder that only its owner can enter (mode 700)"
             )
-        self.lock = os.open(self.folder / PID, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        self.lock = os.open(self.folder / PID_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
-            other = os.read(self.lock, 20).decode().strip()
+            other_pid = os.read(self.lock, 20).decode().strip()
             os.close(self.lock)
             self.lock = None
-            raise FolderInUseError(f"{self.folder}: a daemon runs there already, process {other}") from None
+            raise FolderInUseError(
+                f"{self.folder}: a daemon runs there already, process {other_pid}"
+            ) from None
         os.ftruncate(self.lock, 0)
         os.pwrite(self.lock, f"{os.getpid()}\n".encode(), 0)
-        where = self.file.listen
-        each = self.file.daemon.reuse_port
+        address = self.file.listen
+        reuse_port = self.file.daemon.reuse_port
         self.sockets = [
-            listen(where.address, where.port, share=each) for _ in range(self.count if each else 1)
+            listen(address.address, address.port, share=reuse_port)
+            for _ in range(self.worker_count if reuse_port else 1)
         ]
         if self.file.HasField("console"):
-            self.page = listen(self.file.console.address, self.file.console.port)
-        path = self.folder / CONTROL
+            self.console_socket = listen(self.file.console.address, self.file.console.port)
+        path = self.folder / CONTROL_SOCKET
         path.unlink(missing_ok=True)
         self.control = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        old = os.umask(0o177)
+        old_umask = os.umask(0o177)
         try:
             self.control.bind(str(path))
         finally:
-            os.umask(old)
+            os.umask(old_umask)
         self.control.listen(8)
         self.control.setblocking(False)
 
     def close(self) -> None:
-        for sock in filter(None, [*self.sockets, self.page, self.control]):
+        """Close the sockets, empty the pid file and release its lock."""
+        for sock in filter(None, [*self.sockets, self.console_socket, self.control]):
             sock.close()
         if self.lock is not None:
-            (self.folder / CONTROL).unlink(missing_ok=True)
+            (self.folder / CONTROL_SOCKET).unlink(missing_ok=True)
             os.ftruncate(self.lock, 0)
             os.close(self.lock)
 
-    # ---- what is decided
+    # ---- actions of the supervisor
 
-    def carry(self, answers) -> None:
-        for verb, *facts in answers:
-            getattr(self, f"carry_{verb}")(*facts)
+    def execute(self, actions) -> None:
+        """Execute the supervisor's actions in their order."""
+        for verb, *values in actions:
+            getattr(self, f"execute_{verb}")(*values)
 
-    def carry_start(self, slot: int, number: int, successor: bool) -> None:
-        mine, its = pair()
+    def execute_start(self, slot: int, number: int, successor: bool) -> None:
+        own_end, worker_end = pair()
         environ = {
             name: value
             for name, value in os.environ.items()
             if name not in ("NOTIFY_SOCKET", "WATCHDOG_USEC", "WATCHDOG_PID")
         }
-        call = [
+        command = [
             sys.executable,
             "-m",
             "curlewhall.daemon.worker",
-            str(its.fileno()),
+            str(worker_end.fileno()),
             self.path,
             str(slot),
-            str(self.count),
-            *self.named,
+            str(self.worker_count),
+            *self.class_names,
         ]
         popen = subprocess.Popen(
-            call, pass_fds=[its.fileno()], env=environ, stdin=subprocess.DEVNULL, start_new_session=True
+            command,
+            pass_fds=[worker_end.fileno()],
+            env=environ,
+            stdin=subprocess.DEVNULL,
+            start_new_session=True,
         )
-        its.close()
-        process = self.processes[number] = Process(number, slot, popen)
+        worker_end.close()
+        process = self.processes[number] = WorkerProcess(number, slot, popen)
         process.channel = Channel(
-            self.loop, mine, lambda kind, facts, fds: self.heard(process, kind, facts, fds), lambda: None
+            self.loop,
+            own_end,
+            lambda kind, values, fds: self.message_received(process, kind, values, fds),
+            lambda: None,
         )
-        self.loop.add_reader(process.pidfd, self.ended, process)
-        # the console of several workers is the first one's
-        given = [self.sockets[slot % len(self.sockets)], *([self.page] if self.page and not slot else [])]
-        process.channel.send("listen", fds=tuple(os.dup(sock.fileno()) for sock in given))
+        self.loop.add_reader(process.pidfd, self.process_ended, process)
+        # only the worker of slot 0 serves the console
+        inherited = [
+            self.sockets[slot % len(self.sockets)],
+            *([self.console_socket] if self.console_socket and not slot else []),
+        ]
+        process.channel.send("listen", fds=tuple(os.dup(sock.fileno()) for sock in inherited))
         process.channel.send("prepare" if successor else "begin")
         self.log.info("worker started", slot=slot, worker=number, pid=popen.pid, successor=successor)
 
-    def carry_hand(self, slot: int, old: int, new: int) -> None:
+    def execute_hand(self, slot: int, old: int, new: int) -> None:
         if not old:
             self.processes[new].channel.send("begin")
             return
-        gives, takes = pair()
-        self.processes[new].channel.send("take", fds=(takes.detach(),))
-        self.processes[old].channel.send("give", fds=(gives.detach(),))
+        old_end, new_end = pair()
+        self.processes[new].channel.send("take", fds=(new_end.detach(),))
+        self.processes[old].channel.send("give", fds=(old_end.detach(),))
 
-    def carry_stop(self, number: int) -> None:
+    def execute_stop(self, number: int) -> None:
         self.processes[number].channel.send("stop")
 
-    def carry_hurry(self, number: int) -> None:
+    def execute_hurry(self, number: int) -> None:
         self.processes[number].channel.send("hurry")
 
-    def carry_kill(self, number: int) -> None:
+    def execute_kill(self, number: int) -> None:
         with contextlib.suppress(ProcessLookupError):
             self.processes[number].popen.kill()
 
-    def carry_done(self, what: str, ok: bool, text: str) -> None:
-        self.log.info("done", what=what, ok=ok, text=text)
-        self.said.append(f"{what}: {text}")
-        for future in self.waiting.pop(what, ()):
+    def execute_done(self, what: str, ok: bool, text: str) -> None:
+        self.log.info("command finished", what=what, ok=ok, text=text)
+        self.messages.append(f"{what}: {text}")
+        for future in self.pending_commands.pop(what, ()):
             if not future.done():
                 future.set_result((ok, text))
         if what != "stop":
-            self.notify.say("READY=1", f"STATUS={what}: {text}"[:200])
+            self.notify.send("READY=1", f"STATUS={what}: {text}"[:200])
 
-    def carry_refused(self, what: str, text: str) -> None:
-        """Danger: whoever asked first must not be told that his wish is refused, nor miss how it ends."""
-        self.log.info("refused", what=what, text=text)
-        self.waiting[what].pop().set_result((False, text))
+    def execute_refused(self, what: str, text: str) -> None:
+        """Refuse the last request of this kind; an earlier one that is in progress keeps its future."""
+        self.log.info("command refused", what=what, text=text)
+        self.pending_commands[what].pop().set_result((False, text))
 
-    def carry_say(self, text: str) -> None:
-        self.log.warning("worker", text=text)
-        self.said.append(text)
-        self.notify.say(f"STATUS={text}"[:200])
+    def execute_say(self, text: str) -> None:
+        self.log.warning("worker problem", text=text)
+        self.messages.append(text)
+        self.notify.send(f"STATUS={text}"[:200])
 
-    def carry_wake(self, span: int) -> None:
-        self.timers.after(span / SECOND, lambda: self.carry(self.supervisor.wake(now())))
+    def execute_wake(self, span: int) -> None:
+        self.timers.after(
+            span / TICKS_PER_SECOND, lambda: self.execute(self.supervisor.deadline_reached(now_ticks()))
+        )
 
-    def carry_end(self) -> None:
-        if not self.over.done():
-            self.over.set_result(None)
+    def execute_end(self) -> None:
+        if not self.finished.done():
+            self.finished.set_result(None)
 
-    # ---- what workers say
+    # ---- messages of the workers
 
-    def heard(self, process: Process, kind: str, facts: list, fds: list[int]) -> None:
+    def message_received(self, process: WorkerProcess, kind: str, values: list, fds: list[int]) -> None:
         if kind == "line":
-            self.line(facts[0], facts[1], fds[0])
+            self.route_connection(values[0], values[1], fds[0])
         elif kind == "spread":
-            self.spread(process, facts)
+            self.broadcast(process, values)
         elif kind == "prepared":
-            self.carry(self.supervisor.prepared(now(), process.number))
+            self.execute(self.supervisor.worker_prepared(now_ticks(), process.number))
         elif kind == "ready":
-            self.carry(self.supervisor.ready(now(), process.number))
-            for node in self.drained:
-                process.channel.send("drain", node, False)  # it may have been started anew
-            for line in self.held.pop(process.slot, ()):
-                self.line(process.slot, *line)
-            if all(row["state"] == "serving" for row in self.supervisor.state()):
-                self.notify.say("READY=1", f"MAINPID={os.getpid()}", f"STATUS={self.count} serving")
-                self.log.info("ready", workers=self.count)
+            self.execute(self.supervisor.worker_ready(now_ticks(), process.number))
+            for node in self.drained_nodes:
+                process.channel.send("drain", node, False)  # a restarted worker does not know of the drain
+            for connection in self.waiting_connections.pop(process.slot, ()):
+                self.route_connection(process.slot, *connection)
+            if all(row["state"] == "serving" for row in self.supervisor.status()):
+                self.notify.send("READY=1", f"MAINPID={os.getpid()}", f"STATUS={self.worker_count} serving")
+                self.log.info("ready", workers=self.worker_count)
         elif kind == "pong":
-            process.ponged = now()
+            process.last_pong_at = now_ticks()
         elif kind == "state":
-            process.state = facts[1]
+            process.status = values[1]
 
-    def spread(self, process: Process, facts: list) -> None:
-        """What an operator told one worker, the others are told."""
-        if facts[0] == "drain":
-            (self.drained.discard if facts[2] else self.drained.add)(facts[1])
+    def broadcast(self, process: WorkerProcess, values: list) -> None:
+        """Pass an operator's command to one worker on to the other workers."""
+        if values[0] == "drain":
+            (self.drained_nodes.discard if values[2] else self.drained_nodes.add)(values[1])
         for other in self.processes.values():
             if other is not process:
-                other.channel.send(*facts)
+                other.channel.send(*values)
+
+    def route_connection(self, slot: int, data: bytes, descriptor: int) -> None:
+        """Pass a viewer connection to the worker of a slot, or keep it until that worker is ready.
 
-    def line(self, slot: int, data: bytes, number: int) -> None:
-        """A connection on its way from one worker to another; it waits for one that is about to start."""
-        to = self.supervisor.place(slot)
-        waiting = self.held.setdefault(slot, [])
+        `data` are the bytes that were read from it already.
+        """
+        to = self.supervisor.worker_for_connection(slot)
+        waiting = self.waiting_connections.setdefault(slot, [])
         if to > 0 and to in self.processes:
-            channel, spare = self.processes[to].channel, os.dup(number)
-            channel.send("line", data, fds=(number,))
+            channel, spare = self.processes[to].channel, os.dup(descriptor)
+            channel.send("line", data, fds=(descriptor,))
             if not channel.closed:
                 os.close(spare)
                 return
-            # it has just died, and its end is not known yet: what was not delivered waits for the next one
-            to, number = -1, spare
-        if to < 0 and len(waiting) < WAITING:
-            waiting.append((data, number))
+            # the worker has just ended and the supervisor does not know yet: keep it for the next worker
+            to, descriptor = -1, spare
+        if to < 0 and len(waiting) < MAX_WAITING_CONNECTIONS:
+            waiting.append((data, descriptor))
         else:
-            os.close(number)
+            os.close(descriptor)
 
-    def ended(self, process: Process) -> None:
+    def process_ended(self, process: WorkerProcess) -> None:
+        """Reap a worker's process and report its end to the supervisor."""
         self.loop.remove_reader(process.pidfd)
         os.close(process.pidfd)
         code = process.popen.wait()
@@ -273,139 +307,149 @@
         self.processes.pop(process.number, None)
         why = f"signal {-code}" if code < 0 else f"code {code}"
         self.log.info("worker ended", worker=process.number, why=why)
-        self.carry(self.supervisor.exited(now(), process.number, why))
+        self.execute(self.supervisor.worker_exited(now_ticks(), process.number, why))
 
     # ---- the control socket
 
     async def serve_control(self) -> None:
+        """Accept connections on the control socket."""
         while True:
             sock, _ = await self.loop.sock_accept(self.control)
-            self.loop.create_task(self.answer(sock))
+            self.loop.create_task(self.answer_command(sock))
 
-    async def answer(self, sock: socket.socket) -> None:
+    async def answer_command(self, sock: socket.socket) -> None:
+        """Read a command and send its reply as JSON."""
         sock.setblocking(False)
         try:
             async with asyncio.timeout(5):
-                said = b""
-                while not said.endswith(b"\n") and len(said) < SAID:
-                    piece = await self.loop.sock_recv(sock, SAID)
-                    if not piece:
+                command = b""
+                while not command.endswith(b"\n") and len(command) < MAX_COMMAND_BYTES:
+                    chunk = await self.loop.sock_recv(sock, MAX_COMMAND_BYTES)
+                    if not chunk:
                         break
-                    said += piece
-            reply = await self.do(said.decode("latin-1").strip())
+                    command += chunk
+            reply = await self.run_command(command.decode("latin-1").strip())
             await self.loop.sock_sendall(sock, msgspec.json.encode(reply) + b"\n")
         except (OSError, TimeoutError):
             pass
         finally:
             sock.close()
 
-    async def do(self, what: str) -> dict:
+    async def run_command(self, what: str) -> dict:
+        """Execute a command of the control socket; the reply, once the command has ended."""
         if what == "status":
             return await self.status()
         if what not in ("restart", "reload", "stop"):
             return {"ok": False, "text": f"expected status, restart, reload or stop, found {what[:20]!r}"}
         if what != "stop":
-            wrong = self.wrong_file()
-            if wrong:
-                return {"ok": False, "text": wrong}
-            self.notify.say("RELOADING=1", f"MONOTONIC_USEC={time.monotonic_ns() // 1000}")
-        return await self.asked(what)
+            problem = self.settings_problem()
+            if problem:
+                return {"ok": False, "text": problem}
+            self.notify.send("RELOADING=1", f"MONOTONIC_USEC={time.monotonic_ns() // 1000}")
+        return await self.request(what)
 
     async def reload(self) -> None:
-        """As by the control socket; whoever sent the signal reads the outcome in the log."""
-        reply = await self.do("reload")
+        """Reload after SIGHUP; the outcome goes to the log."""
+        reply = await self.run_command("reload")
         self.log.info("reload by signal", **reply)
 
-    async def asked(self, what: str) -> dict:
+    async def request(self, what: str) -> dict:
+        """Pass a restart, reload or stop to the supervisor and wait for its end."""
         future = self.loop.create_future()
-        self.waiting.setdefault(what, []).append(future)
+        self.pending_commands.setdefault(what, []).append(future)
         if what == "stop":
-            self.notify.say("STOPPING=1")
-            # Danger: who waits in a listening socket when its last holder closes it is reset, unanswered. The
-            # workers hold it to the end and take in who waits; so it must not outlive them here.
-            serving = any(row["state"] == "serving" for row in self.supervisor.state())
+            self.notify.send("STOPPING=1")
+            # Connections in a listening socket's queue are reset, unanswered, when its last holder closes it.
+            # Workers accept the queued connections before they close the socket, so the daemon must close its
+            # copy first; with no serving worker it refuses them itself.
+            serving = any(row["state"] == "serving" for row in self.supervisor.status())
             for sock in self.sockets:
                 if not serving:
-                    turn_away(sock)
+                    refuse_queued_connections(sock)
                 sock.close()
-        self.carry(self.supervisor.asked(now(), what))
+        self.execute(self.supervisor.command_requested(now_ticks(), what))
         ok, text = await future
         return {"ok": ok, "text": text}
 
-    def wrong_file(self) -> str:
-        """Why the file as it is now can't be handed over to; a wrong file changes nothing."""
+    def settings_problem(self) -> str:
+        """Why the settings file can't be applied by a hand-over; empty: it can."""
         try:
             file = load(self.path)
         except (SettingsError, OSError) as err:
             return f"nothing was changed: {err}"
-        same = [
+        fixed = [
             ("listen.address", file.listen.address, self.file.listen.address),
             ("listen.port", file.listen.port, self.file.listen.port),
             ("console.address", file.console.address, self.file.console.address),
             ("console.port", file.console.port, self.file.console.port),
             ("daemon.reuse_port", file.daemon.reuse_port, self.file.daemon.reuse_port),
-            ("daemon.workers", file.daemon.workers or 1, self.count),
+            ("daemon.workers", file.daemon.workers or 1, self.worker_count),
             ("daemon.folder", str(folder_of(file)), str(self.folder)),
             ("state.folder", file.state.folder, self.file.state.folder),
             ("identity.name", file.identity.name, self.file.identity.name),
         ]
-        changed = [f"{name} (is {old!r}, would be {new!r})" for name, new, old in same if new != old]
+        changed = [f"{name} (is {old!r}, would be {new!r})" for name, new, old in fixed if new != old]
         if changed:
             return f"nothing was changed: only a stop and a start can change {', '.join(changed)}"
         return ""
 
     async def status(self) -> dict:
-        self.asks += 1
+        """The reply to `status`; waits up to a second for the workers' figures."""
+        self.status_requests += 1
         for process in self.processes.values():
-            process.state = {}
-            process.channel.send("state", self.asks)
-        until = self.loop.time() + 1.0  # a worker that says nothing for a second is told as silent
-        while self.loop.time() < until and not all(p.state for p in self.processes.values()):
+            process.status = {}
+            process.channel.send("state", self.status_requests)
+        until = self.loop.time() + 1.0  # a worker without an answer by then is shown as silent
+        while self.loop.time() < until and not all(p.status for p in self.processes.values()):
             await asyncio.sleep(0.01)
-        rows = self.supervisor.state()
+        rows = self.supervisor.status()
         for row in rows:
             process = self.processes.get(row["worker"])
             row["pid"] = process.popen.pid if process else 0
-            row |= process.state if process and process.state else {"silent": process is not None}
+            row |= process.status if process and process.status else {"silent": process is not None}
         return {
             "ok": True,
             "pid": os.getpid(),
-            "since": int(self.began),
+            "since": int(self.started_at),
             "front": self.file.identity.name,
             "address": f"{self.file.listen.address}:{self.file.listen.port}",
             "workers": rows,
-            "said": list(self.said),
+            "said": list(self.messages),
         }
 
     # ---- the service manager
 
     def watchdog(self) -> None:
-        """Danger: a daemon that runs is not a front that serves. Its word depends on its workers' word."""
-        span = self.notify.watchdog / 2
+        """Notify the watchdog while every serving worker answers pings.
+
+        The daemon alone running says nothing about the fronts, so the notification depends on the workers.
+        """
+        interval = self.notify.watchdog / 2
         serving = [
             p
             for p in self.processes.values()
             if p.number in self.supervisor.workers and self.supervisor.workers[p.number].state == "serving"
         ]
-        if serving and all(now() - p.ponged < 4 * span * SECOND for p in serving):
-            self.notify.say("WATCHDOG=1")
+        if serving and all(now_ticks() - p.last_pong_at < 4 * interval * TICKS_PER_SECOND for p in serving):
+            self.notify.send("WATCHDOG=1")
         for process in self.processes.values():
             process.channel.send("ping", 0)
-        self.timers.after(span, self.watchdog)
+        self.timers.after(interval, self.watchdog)
 
     async def run(self) -> None:
+        """Run until stopped by the control socket or by SIGTERM or SIGINT."""
         self.open()
         try:
             for number in (signal.SIGTERM, signal.SIGINT):
-                self.loop.add_signal_handler(number, lambda: self.loop.create_task(self.asked("stop")))
-            # Danger: its default action ends a daemon whose terminal hangs up, and every play with it.
+                self.loop.add_signal_handler(number, lambda: self.loop.create_task(self.request("stop")))
+            # the default action of SIGHUP would end the daemon and its plays when its terminal closes
             self.loop.add_signal_handler(signal.SIGHUP, lambda: self.loop.create_task(self.reload()))
             control = self.loop.create_task(self.serve_control())
-            self.carry(self.supervisor.begin(now()))
+            self.execute(self.supervisor.start_all(now_ticks()))
             if self.notify.watchdog:
                 self.watchdog()
-            await self.over
-            await asyncio.sleep(0.05)  # whoever asked for the stop is answered
+            await self.finished
+            await asyncio.sleep(0.05)  # the reply to the stop command is sent
             control.cancel()
         finally:
             for process in self.processes.values():
--- a/curlewhall/daemon/worker.py
+++ b/curlewhall/daemon/worker.py
@@ -1,9 +1,12 @@
-"""A front under a daemon: one process, told what to do over a channel on an inherited descriptor.
+"""A worker process of a daemon: one front, controlled over a channel on an inherited descriptor.
 
     python -m curlewhall.daemon.worker DESCRIPTOR FILE SLOT WORKERS [POLICY [MOVER]]
 
-The daemon says `listen` (the sockets come along), `begin` (serve), `give` and `take` (one end of a channel
-each), `stop`, `hurry`, `ping`. The worker says `prepared`, `ready`, `back`, `gone`, `pong`.
+The daemon sends `listen` (with the listening sockets), `prepare` (to a successor), `begin` (serve), `give`
+and `take` (each with one end of a hand-over channel), `stop`, `hurry`, `ping`, `state`, `line` (a viewer
+connection), and `drain` and `confirm` (commands that an operator sent to another worker). The worker sends
+`prepared`, `ready`, `back` (the successor failed), `pong`, `state`, `line` (a viewer connection for another
+slot) and `spread` (a command for the other workers).
 """
 
 import asyncio
@@ -22,12 +25,12 @@
 from curlewhall.settings import SettingsError, front_pb2, load
 
 from .channel import Channel
-from .decide import owner
-from .handover import Coming, Leaving
+from .decide import slot_for_request
+from .handover import IncomingHandover, OutgoingHandover
 
 
-def of_slot(file: front_pb2.FrontFile, slot: int, workers: int) -> front_pb2.FrontFile:
-    """The file of one worker of several: a front of its own, with a name, an index and a state of its own."""
+def settings_of_slot(file: front_pb2.FrontFile, slot: int, workers: int) -> front_pb2.FrontFile:
+    """The settings of one worker. Each of several workers is a front with its own name, index and state."""
     if workers > 1:
         name = file.identity.name
         file.identity.name = f"{name}-w{slot}"
@@ -46,127 +49,155 @@
 
 
 class Worker:
-    """Runs one front until the daemon, or its loss, ends it."""
+    """Runs one front until the daemon stops it, hands it over or ends."""
 
-    def __init__(self, daemon: int, slot: int, workers: int, file, log, make, mover) -> None:
-        self.file, self.log, self.make, self.mover = file, log, make, mover
+    def __init__(self, daemon: int, slot: int, workers: int, file, log, policy_class, mover_class) -> None:
+        self.file = file
+        self.log = log
+        self.policy_class = policy_class
+        self.mover_class = mover_class
         self.loop = asyncio.get_running_loop()
-        self.over = self.loop.create_future()
-        self.front = self.leaving = self.coming = self.sock = self.page = None
-        self.stopping, self.slot, self.workers = False, slot, workers
-        self.daemon = Channel(self.loop, socket.socket(fileno=daemon), self.heard, self.lost)
-
-    def heard(self, kind: str, facts: list, fds: list[int]) -> None:
-        getattr(self, f"told_{kind}")(*facts, *fds)
-
-    def lost(self) -> None:
-        """Danger: a daemon that was killed leaves fronts that nobody watches, and a port that is taken."""
-        self.log.warning("the daemon is gone")
-        self.told_stop()
-
-    def told_listen(self, number: int, page: int | None = None) -> None:
-        self.sock, self.page = socket.socket(fileno=number), None
-        self.sock.setblocking(False)
-        if page is not None:
-            self.page = socket.socket(fileno=page)
-            self.page.setblocking(False)
-
-    def told_prepare(self) -> None:
-        """A successor: its settings are read, which is what goes wrong most."""
+        self.finished = self.loop.create_future()
+        self.front = None
+        self.outgoing = None  # hand-over to the successor
+        self.incoming = None  # hand-over from the predecessor
+        self.viewer_socket = None
+        self.console_socket = None
+        self.stopping = False
+        self.slot = slot
+        self.workers = workers
+        self.daemon = Channel(
+            self.loop, socket.socket(fileno=daemon), self.message_received, self.daemon_ended
+        )
+
+    def message_received(self, kind: str, values: list, fds: list[int]) -> None:
+        """Call `handle_{kind}` for a message of the daemon."""
+        getattr(self, f"handle_{kind}")(*values, *fds)
+
+    def daemon_ended(self) -> None:
+        """Stop: nobody supervises this front without its daemon, and the next daemon needs its port."""
+        self.log.warning("the daemon ended; stopping")
+        self.handle_stop()
+
+    def handle_listen(self, viewers: int, console: int | None = None) -> None:
+        """Take the descriptors of the listening sockets."""
+        self.viewer_socket, self.console_socket = socket.socket(fileno=viewers), None
+        self.viewer_socket.setblocking(False)
+        if console is not None:
+            self.console_socket = socket.socket(fileno=console)
+            self.console_socket.setblocking(False)
+
+    def handle_prepare(self) -> None:
+        """Answer as a successor: its settings are valid, otherwise it would have exited before."""
         self.daemon.send("prepared")
 
-    def told_begin(self) -> None:
-        self.begin(None)
+    def handle_begin(self) -> None:
+        self.start_front(None)
 
-    def begin(self, coming) -> None:
+    def start_front(self, incoming) -> None:
+        """Start the front, with what the predecessor handed over if `incoming` is not None."""
         try:
-            self.front = FrontProcess(self.file, self.log, self.make, self.mover, coming)
+            self.front = FrontProcess(self.file, self.log, self.policy_class, self.mover_class, incoming)
         except (OSError, StoreLockedError, NewerFormatError, ValueError) as err:
             self.fail(describe(err))
             return
-        self.loop.create_task(self.serve(coming))
+        self.loop.create_task(self.serve(incoming))
 
-    async def serve(self, coming) -> None:
+    async def serve(self, incoming) -> None:
+        """Open the front's sockets and report `ready` once it can answer viewers."""
         try:
-            await self.front.start(self.sock, self.page and self.page.dup())
+            await self.front.start(self.viewer_socket, self.console_socket and self.console_socket.dup())
         except OSError as err:
             self.fail(describe(err))
             return
         if self.workers > 1:
             self.front.server.route = self.route
             self.front.follower.broadcast = lambda *facts: self.daemon.send("spread", *facts)
-        if coming is not None:
-            coming.serving()
+        if incoming is not None:
+            incoming.announce_serving()
         await self.front.ready.wait()
         self.daemon.send("ready")
         tune_garbage_collector()
 
     def route(self, messages):
-        """Another worker's viewer goes there, connection and all, by way of the daemon.
+        """Where to send a connection whose viewer belongs to another worker; None: answer it here.
 
-        Danger: a daemon stops its workers together. The other one may be gone when the connection comes, and
-        nobody answers (rule 1); this one says no as well as that one would.
+        While stopping it is answered here: all workers of a daemon stop together, so the other one may have
+        ended when the connection arrives, and the viewer would get no answer (rule 1).
         """
         if self.stopping:
             return None
-        slots = {owner(message.target, self.workers) for message in messages}
+        slots = {slot_for_request(message.target, self.workers) for message in messages}
         slot = slots.pop() if len(slots) == 1 else None
         if slot is None or slot == self.slot:
             return None
-        return lambda sock, data: self.send_line(slot, sock, data)
+        return lambda sock, data: self.send_connection(slot, sock, data)
 
-    def send_line(self, slot: int, sock: socket.socket, data: bytes) -> None:
-        number = os.dup(sock.fileno())
+    def send_connection(self, slot: int, sock: socket.socket, data: bytes) -> None:
+        """Pass a viewer connection and the bytes read from it to the worker of another slot."""
+        descriptor = os.dup(sock.fileno())
         self.loop.call_soon(sock.close)
-        self.daemon.send("line", slot, data, fds=(number,))
+        self.daemon.send("line", slot, data, fds=(descriptor,))
 
-    def told_drain(self, node: str, back: bool) -> None:
-        """Another worker was told by an operator."""
+    def handle_drain(self, node: str, back: bool) -> None:
+        """Drain a node, or end its drain: an operator told another worker to."""
         if self.front is not None:
             self.front.follower.drain_node(node, back, broadcast=False)
 
-    def told_confirm(self, digest: str) -> None:
+    def handle_confirm(self, digest: str) -> None:
+        """Confirm an inventory change: an operator confirmed it at another worker."""
         if self.front is not None and self.front.follower.watcher is not None:
             why = self.front.follower.watcher.confirm(digest)
             if why:
-                self.log.warning("the inventory is not confirmed here", why=why)
+                self.log.warning("inventory change not confirmed", why=why)
 
-    def told_line(self, data: bytes, number: int) -> None:
-        self.front.server.adopt_number(number, data, routed=True)
+    def handle_line(self, data: bytes, descriptor: int) -> None:
+        """Serve a viewer connection that another worker passed on."""
+        self.front.server.adopt_number(descriptor, data, routed=True)
 
     def fail(self, why: str) -> None:
+        """End the process with an error."""
         self.log.error("can't start", why=why)
-        if not self.over.done():
-            self.over.set_exception(RuntimeError(why))
+        if not self.finished.done():
+            self.finished.set_exception(RuntimeError(why))
 
-    def told_take(self, number: int) -> None:
-        self.coming = Coming(self.loop, socket.socket(fileno=number), self.begin, self.fail)
+    def handle_take(self, descriptor: int) -> None:
+        """Take over from the predecessor over the given channel."""
+        self.incoming = IncomingHandover(
+            self.loop, socket.socket(fileno=descriptor), self.start_front, self.fail
+        )
 
-    def told_give(self, number: int) -> None:
-        self.leaving = Leaving(self.front, socket.socket(fileno=number), self.back, self.gone)
+    def handle_give(self, descriptor: int) -> None:
+        """Hand over to the successor over the given channel."""
+        self.outgoing = OutgoingHandover(
+            self.front, socket.socket(fileno=descriptor), self.handover_failed, self.handover_finished
+        )
 
-    def back(self) -> None:
-        """The successor failed: this one goes on."""
-        self.leaving = None
-        if self.page is not None:
-            self.front.open_console(self.page.dup())
-        self.log.warning("the successor failed; going on")
+    def handover_failed(self) -> None:
+        """The successor failed: continue to serve."""
+        self.outgoing = None
+        if self.console_socket is not None:
+            self.front.open_console(self.console_socket.dup())
+        self.log.warning("the successor failed; continuing to serve")
         self.daemon.send("back")
         if self.stopping:
             self.stopping = False
-            self.told_stop()
+            self.handle_stop()
 
-    def gone(self) -> None:
-        self.log.info("left to the successor")
+    def handover_finished(self) -> None:
+        """Nothing is left to do after a hand-over: exit."""
+        self.log.info("hand-over finished")
         self.front.close()
-        self.leaving.channel.close()
+        self.outgoing.channel.close()
         self.finish()
 
     def finish(self) -> None:
-        if not self.over.done():
-            self.over.set_result(None)
+        """End the process with success."""
+        if not self.finished.done():
+            self.finished.set_result(None)
 
-    def told_stop(self) -> None:
+    def handle_stop(self) -> None:
+        """Answer accepted requests, then exit."""
         if self.stopping:
             return
         self.stopping = True
@@ -180,29 +211,34 @@
         await self.front.stop()
         self.finish()
 
-    def told_hurry(self) -> None:
+    def handle_hurry(self) -> None:
+        """Shorten a stop: fail the set-ups in progress."""
         if self.front is not None:
             self.front.hurry_stop()
 
-    def told_ping(self, number: int) -> None:
+    def handle_ping(self, number: int) -> None:
         self.daemon.send("pong", number)
 
-    def told_state(self, number: int) -> None:
+    def handle_state(self, number: int) -> None:
+        """Report figures for `curlewhall status`."""
         counts = (
             {}
             if self.front is None
             else {
                 "counts": self.front.driver.counts,
-                "held": sum(h.playing_number is not None for h in self.front.driver.plays.values()),
+                "held": sum(play.playing_number is not None for play in self.front.driver.plays.values()),
                 "connections": len(self.front.server.connections) if self.front.server else 0,
             }
         )
         self.daemon.send("state", number, counts)
 
 
-async def main(daemon: int, path: str, slot: int, workers: int, make: str = "", mover: str = "") -> int:
+async def main(
+    daemon: int, path: str, slot: int, workers: int, policy_name: str = "", mover_name: str = ""
+) -> int:
+    """Run a worker until it ends; the exit code: 0, 1 if it could not start, 2 for invalid settings."""
     try:
-        file = of_slot(load(path), slot, workers)
+        file = settings_of_slot(load(path), slot, workers)
     except (SettingsError, OSError) as err:
         print(err, file=sys.stderr)
         return 2
@@ -213,11 +249,11 @@
         workers,
         file,
         log,
-        load_class(make) if make else None,
-        load_class(mover) if mover else None,
+        load_class(policy_name) if policy_name else None,
+        load_class(mover_name) if mover_name else None,
     )
     try:
-        await worker.over
+        await worker.finished
     except RuntimeError as err:
         print(f"can't start: {err}", file=sys.stderr)
         return 1
@@ -226,5 +262,5 @@
 
 if __name__ == "__main__":
     raise_descriptor_limit()
-    daemon, path, slot, workers, *named = sys.argv[1:]
-    sys.exit(uvloop.run(main(int(daemon), path, int(slot), int(workers), *named)))
+    daemon, path, slot, workers, *class_names = sys.argv[1:]
+    sys.exit(uvloop.run(main(int(daemon), path, int(slot), int(workers), *class_names)))
--- a/curlewhall/front/driver.py
+++ b/curlewhall/front/driver.py
@@ -385,7 +385,7 @@
                 self.sites.node_reported(node, kind, report[kind])
         if first:
             if self.successor is not None:
-                self.successor.passed(active_play)
+                self.successor.set_up_succeeded(active_play)
             self.moves.play_started(active_play)
         early_events, active_play.early_events = active_play.early_events, []
         for event in early_events:
@@ -549,7 +549,7 @@
         active_play.answered = True
         self.counts[what] += 1
         if self.successor is not None and what != "played":
-            self.successor.lost(active_play)
+            self.successor.set_up_ended(active_play)
         if active_play.moved_from and what != "played":
             self.moves.play_lost(active_play, what)
         if active_play.deadline_timer is not None:
--- a/curlewhall/front/serve.py
+++ b/curlewhall/front/serve.py
@@ -117,7 +117,7 @@
             settings,
             self.timers,
             log,
-            started_at=predecessor.born() if predecessor is not None else None,
+            started_at=predecessor.earliest_node_time() if predecessor is not None else None,
         )
         answer_margin_ms = file.limits.answer_margin_ms if file.limits.HasField("answer_margin_ms") else 100
         listen_settings = file.listen
@@ -194,7 +194,7 @@
         self.server = self.console = None
         self.stop_hurried, self.ready = False, asyncio.Event()
         if predecessor is not None:
-            predecessor.take_up(self)
+            predecessor.restore(self)
 
     def open_store(self) -> None:
         """Open the state folder; without one, keep only the reallocation budget's window, in memory.
