--- a/curlewhall/cli/__init__.py
+++ b/curlewhall/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command `curlewhall`. Sub-commands are thin: they parse, call and print."""
+"""The command `curlewhall`. Sub-commands only parse arguments, call the packages and print."""
 
 from .main import main
 
--- a/curlewhall/cli/daemon.py
+++ b/curlewhall/cli/daemon.py
@@ -1,4 +1,4 @@
-"""`start`, `status`, `stop`, `restart` and `reload`: the front as a daemon."""
+"""Sub-commands for a front as a daemon: `start`, `status`, `stop`, `restart` and `reload`."""
 
 import os
 import subprocess
@@ -14,33 +14,35 @@
 from curlewhall.daemon.control import DaemonNotRunningError, ask, folder_of
 from curlewhall.errors import describe
 
-from .files import settings_of
+from .files import load_settings_or_exit
 
 FILE = click.argument("file", type=click.Path(dir_okay=False))
 
 
-def tell(file: str, what: str) -> dict:
+def send_command(file: str, what: str) -> dict:
+    """The reply of the daemon of FILE; exits with code 3 if none runs."""
     try:
-        return ask(folder_of(settings_of(file)), what)
+        return ask(folder_of(load_settings_or_exit(file)), what)
     except DaemonNotRunningError as err:
         click.echo(err.full_message, err=True)
         sys.exit(3)
 
 
-def end_with(reply: dict) -> None:
+def exit_with_reply(reply: dict) -> None:
+    """Print the daemon's reply and exit with code 0 or 1."""
     click.echo(reply["text"], err=not reply["ok"])
     sys.exit(0 if reply["ok"] else 1)
 
 
 @click.command()
 @FILE
-@click.option("--detach", is_flag=True, help="Go to the background once it serves.")
+@click.option("--detach", is_flag=True, help="Run in the background; return once it serves.")
 @click.option(
     "--log",
     "log_file",
     type=click.Path(dir_okay=False),
     default=None,
-    help="Where logs go when it detaches; else to standard error.",
+    help="Log file with --detach; otherwise logs go to standard error.",
 )
 @click.option("--policy", default="", metavar="MODULE:CLASS", help="For comparison, as with serve.")
 @click.option("--mover", default="", metavar="MODULE:CLASS", help="For comparison, as with serve.")
@@ -49,24 +51,24 @@
     type=click.FloatRange(1, 600),
     default=30.0,
     show_default=True,
-    help="With --detach: seconds until it has to serve.",
+    help="With --detach: seconds within which it must serve.",
 )
 def start(file: str, detach: bool, log_file: str | None, policy: str, mover: str, wait: float) -> None:
     """Run a front as a daemon with the operator's FILE.
 
-    In the foreground it suits a service manager (sd_notify). Exit code 0: stopped as asked (detached: it
-    serves); 1: it could not start; 2: FILE is wrong.
+    In the foreground it works with a service manager (sd_notify). Exit code 0: stopped on request (detached:
+    it serves); 1: it could not start; 2: FILE is invalid.
     """
-    found = settings_of(file)
+    settings = load_settings_or_exit(file)
     if detach:
-        sys.exit(detached(file, folder_of(found), log_file, wait))
+        sys.exit(start_detached(file, folder_of(settings), log_file, wait))
     from curlewhall.daemon.run import Daemon, FolderInUseError
     from curlewhall.settings import front_pb2
 
-    log = logs.make_logger(front_pb2.LogForm.Name(found.logs.form).lower(), found.logs.level or "info")
+    log = logs.make_logger(front_pb2.LogForm.Name(settings.logs.form).lower(), settings.logs.level or "info")
 
     async def run() -> None:
-        await Daemon(os.path.abspath(file), found, log, policy, mover).run()
+        await Daemon(os.path.abspath(file), settings, log, policy, mover).run()
 
     try:
         uvloop.run(run())
@@ -75,19 +77,19 @@
         sys.exit(1)
 
 
-def detached(file: str, folder, log_file: str | None, wait: float) -> int:
-    """Start the same in a session of its own and wait until every worker serves."""
-    target = open(log_file, "ab") if log_file else subprocess.DEVNULL  # noqa: SIM115 - the child's
+def start_detached(file: str, folder, log_file: str | None, wait: float) -> int:
+    """Start the daemon in its own session and wait until every worker serves; the exit code."""
+    output = open(log_file, "ab") if log_file else subprocess.DEVNULL  # noqa: SIM115 - inherited by the child
     child = subprocess.Popen(
         [sys.executable, "-m", "curlewhall", "start", os.path.abspath(file)],
         stdin=subprocess.DEVNULL,
-        stdout=target,
-        stderr=target,
+        stdout=output,
+        stderr=output,
         start_new_session=True,
         cwd="/",
     )
-    until = time.monotonic() + wait
-    while time.monotonic() < until and child.poll() is None:
+    deadline = time.monotonic() + wait
+    while time.monotonic() < deadline and child.poll() is None:
         try:
             state = ask(folder, "status", 5.0)
             if state.get("pid") == child.pid and all(w["state"] == "serving" for w in state["workers"]):
@@ -98,10 +100,10 @@
         time.sleep(0.05)
     if child.poll() is None:
         child.terminate()
-        click.echo(f"it did not serve within {wait:g} s and was stopped", err=True)
+        click.echo(f"the daemon did not serve within {wait:g} s and was stopped", err=True)
     else:
         click.echo(
-            f"it ended with code {child.returncode}"
+            f"the daemon ended with exit code {child.returncode}"
             + (f", see {log_file}" if log_file else "; start it without --detach to see why"),
             err=True,
         )
@@ -111,8 +113,8 @@
 @click.command()
 @FILE
 def status(file: str) -> None:
-    """Show the daemon of FILE and its workers. Exit code 3: none runs."""
-    state = tell(file, "status")
+    """Show the daemon of FILE and its workers. Exit code 3: it does not run."""
+    state = send_command(file, "status")
     table = Table(
         "worker",
         "process",
@@ -126,14 +128,14 @@
     )
     for row in state["workers"]:
         counts = row.get("counts", {})
-        shown = "silent" if row.get("silent") else row["state"]
+        state_text = "silent" if row.get("silent") else row["state"]
         table.add_row(
             *map(
                 str,
                 (
                     row["slot"],
                     row["pid"],
-                    shown,
+                    state_text,
                     row.get("held", "-"),
                     row.get("connections", "-"),
                     counts.get("asked", "-"),
@@ -151,20 +153,20 @@
 @click.command()
 @FILE
 def stop(file: str) -> None:
-    """Answer what was taken and leave. Said twice, the second shortens: what is under way is failed now."""
-    end_with(tell(file, "stop"))
+    """Answer accepted requests and exit. A second stop fails the requests in progress at once."""
+    exit_with_reply(send_command(file, "stop"))
 
 
 @click.command()
 @FILE
 def restart(file: str) -> None:
     """Replace every worker by a successor that takes over sockets, connections and plays."""
-    end_with(tell(file, "restart"))
+    exit_with_reply(send_command(file, "restart"))
 
 
 @click.command()
 @FILE
 def reload(file: str) -> None:
-    """Take over a changed FILE. A wrong one is refused with every complaint, and nothing changes."""
-    settings_of(file)
-    end_with(tell(file, "reload"))
+    """Apply a changed FILE. An invalid one is refused with every complaint, and nothing changes."""
+    load_settings_or_exit(file)
+    exit_with_reply(send_command(file, "reload"))
--- a/curlewhall/cli/draining.py
+++ b/curlewhall/cli/draining.py
@@ -1,4 +1,4 @@
-"""`curlewhall drain`: tells fronts that a node is taken out, and shows how its plays leave."""
+"""`curlewhall drain`: drains a node at several fronts and shows the progress of its plays."""
 
 import json
 import time
@@ -10,11 +10,11 @@
 from rich.live import Live
 from rich.table import Table
 
-SHOWN = ("moved", "waiting", "out", "left", "lost", "held")
+PROGRESS_COLUMNS = ("moved", "waiting", "out", "left", "lost", "held")
 
 
-def call(url: str, method: str = "GET") -> dict:
-    """A front's answer as JSON; `OSError` with a plain reason where there is none."""
+def request_json(url: str, method: str = "GET") -> dict:
+    """A front's JSON answer. Raises `OSError` with the reason if there is none."""
     opener = urllib.request.build_opener(urllib.request.ProxyHandler({}))
     try:
         with opener.open(urllib.request.Request(url, method=method), timeout=5) as reply:
@@ -28,48 +28,56 @@
     except urllib.error.URLError as err:
         raise OSError(f"{url}: {err.reason}") from None
     except ValueError:
-        raise OSError(f"{url}: what answers is no front") from None
+        raise OSError(f"{url}: the answer is not JSON, expected a front") from None
 
 
-def picture(node: str, found: dict[str, dict]) -> Table:
-    table = Table("front", *SHOWN, title=f"Drain of {node}")
-    for front, plans in found.items():
+def progress_table(node: str, progress: dict[str, dict]) -> Table:
+    """One row of counts per front."""
+    table = Table("front", *PROGRESS_COLUMNS, title=f"Drain of {node}")
+    for front, plans in progress.items():
         plan = plans.get(node)
-        table.add_row(front, *(str(plan[name]) if plan else "-" for name in SHOWN))
+        table.add_row(front, *(str(plan[name]) if plan else "-" for name in PROGRESS_COLUMNS))
     return table
 
 
 def drain(node: str, fronts: tuple[str, ...], back: bool, wait: float, console: Console) -> int:
-    """Tell, follow, and say how it ended; the command's exit code."""
+    """Drain `node` at the fronts, or end its drain, and follow its plays; the exit code.
+
+    `wait`: seconds to follow the plays; 0: none.
+    """
     fronts = tuple(front.rstrip("/") for front in fronts)
-    found, failed = {}, []
+    progress, failed = {}, []
     for front in fronts:
         try:
-            found[front] = call(f"{front}/v1/drain?node={quote(node, safe='')}&back={int(back)}", "POST")
+            progress[front] = request_json(
+                f"{front}/v1/drain?node={quote(node, safe='')}&back={int(back)}", "POST"
+            )
         except OSError as err:
             failed.append(front)
-            console.print(f"not told: {err}", style="red", markup=False, highlight=False)
-    if back or not wait or not found:
-        if found:
-            what = "called back" if back else "draining"
-            console.print(f"{node}: {what} at {len(found)} of {len(fronts)} fronts")
+            console.print(f"drain not requested: {err}", style="red", markup=False, highlight=False)
+    if back or not wait or not progress:
+        if progress:
+            state = "called back" if back else "draining"
+            console.print(f"{node}: {state} at {len(progress)} of {len(fronts)} fronts")
         return 1 if failed else 0
-    until = time.monotonic() + wait
+    deadline = time.monotonic() + wait
     with Live(console=console, refresh_per_second=4) as live:
         while True:
-            for front in found:
+            for front in progress:
                 try:
-                    found[front] = call(f"{front}/v1/moves")
+                    progress[front] = request_json(f"{front}/v1/moves")
                 except OSError as err:
-                    console.print(f"out of reach: {err}", style="red", markup=False, highlight=False)
-            live.update(picture(node, found))
-            held = sum(plans.get(node, {}).get("held", 0) for plans in found.values())
-            if not held or time.monotonic() >= until:
+                    console.print(f"no answer: {err}", style="red", markup=False, highlight=False)
+            live.update(progress_table(node, progress))
+            held = sum(plans.get(node, {}).get("held", 0) for plans in progress.values())
+            if not held or time.monotonic() >= deadline:
                 break
             time.sleep(0.25)
-    lost = sum(plans.get(node, {}).get("lost", 0) for plans in found.values())
+    lost = sum(plans.get(node, {}).get("lost", 0) for plans in progress.values())
     if held:
-        console.print(f"{node}: {held} plays are still there; their viewers come again when it stops")
+        console.print(
+            f"{node}: {held} plays remain; their viewers will request them again when the node stops"
+        )
     else:
         console.print(f"{node}: empty, {lost} lost by moves")
     return 1 if held or failed else 0
--- a/curlewhall/cli/faulty.py
+++ b/curlewhall/cli/faulty.py
@@ -1,4 +1,4 @@
-"""The command, with a disk that fails on purpose; for the drills, which start it by name.
+"""The command with injected disk faults, started by the drills. CONTROL is the file that selects the fault.
 
 python -m curlewhall.cli.faulty CONTROL serve FILE [...]
 """
--- a/curlewhall/cli/files.py
+++ b/curlewhall/cli/files.py
@@ -1,12 +1,12 @@
-"""The operator's file on the command line."""
+"""Loading of the operator's settings file for sub-commands."""
 
 import sys
 
 import click
 
 
-def settings_of(path: str):
-    """The checked file; a wrong one ends the command with every complaint and code 2."""
+def load_settings_or_exit(path: str):
+    """The checked settings of a file. Prints every complaint and exits with code 2 if it is invalid."""
     from curlewhall.settings import SettingsError, load
 
     try:
--- a/curlewhall/cli/inventory.py
+++ b/curlewhall/cli/inventory.py
@@ -1,4 +1,4 @@
-"""`curlewhall inventory`: check, compare and convert the operators' files; confirm a change that waits."""
+"""`curlewhall inventory`: check, compare and convert inventory files; confirm a pending change at fronts."""
 
 import json
 import sys
@@ -13,23 +13,23 @@
 from curlewhall.inventory.run import YAML_SUFFIXES, Files, LoadedInventory, load
 
 TITLES = click.option(
-    "--titles", default="", type=click.Path(dir_okay=False), help="The titles, where the file is CSV."
+    "--titles", default="", type=click.Path(dir_okay=False), help="The file of titles if FILE is CSV."
 )
 PLACES = click.option(
     "--places",
     default=0,
     type=click.IntRange(0),
-    help="How many places there are; titles without holders are told then.",
+    help="Number of places; with it, titles that no node holds are reported.",
 )
 
 
 @click.group()
 def inventory() -> None:
-    """Playout nodes and titles in CSV or YAML, as configuration tools keep them."""
+    """Check, compare, convert and confirm inventories of playout nodes and titles in CSV or YAML."""
 
 
-def read(file: str, titles: str, places: int = 0) -> LoadedInventory:
-    """A sound inventory; a wrong one ends the command with every complaint and code 1, no file with 2."""
+def read_or_exit(file: str, titles: str, places: int = 0) -> LoadedInventory:
+    """A valid inventory. Exits with code 1 and every complaint if it is invalid, with 2 without the file."""
     try:
         return load(Files(file, titles), places)
     except InventoryError as err:
@@ -45,15 +45,15 @@
 @TITLES
 @PLACES
 def check(file: str, titles: str, places: int) -> None:
-    """Say everything that is wrong with FILE, with its lines. Exit code 0: sound; 1: wrong."""
-    found = read(file, titles, places)
-    nodes, states = found.inventory.rows, {}
+    """Print every error in FILE with its line. Exit code 0: valid; 1: invalid; 2: a file can't be read."""
+    result = read_or_exit(file, titles, places)
+    nodes, states = result.inventory.rows, {}
     for row in nodes.values():
         states[row.state] = states.get(row.state, 0) + 1
-    shown = ", ".join(f"{count} {state}" for state, count in sorted(states.items()))
+    state_counts = ", ".join(f"{count} {state}" for state, count in sorted(states.items()))
     click.echo(
-        f"sound: {len(nodes)} nodes ({shown}), {len(found.inventory.titles)} titles, "
-        f"digest {found.digest}"
+        f"valid: {len(nodes)} nodes ({state_counts}), {len(result.inventory.titles)} titles, "
+        f"digest {result.digest}"
     )
 
 
@@ -63,17 +63,18 @@
 @click.option("--old-titles", default="", type=click.Path(dir_okay=False))
 @click.option("--new-titles", default="", type=click.Path(dir_okay=False))
 def diff(old: str, new: str, old_titles: str, new_titles: str) -> None:
-    """What a front would do on the way from OLD to NEW. Exit code 0: nothing; 3: something; 4: it would wait
-    to be confirmed.
+    """Show the changes from OLD to NEW.
+
+    Exit code 0: none; 3: some; 4: a front would wait for a confirmation.
     """
-    before, after = read(old, old_titles).inventory, read(new, new_titles).inventory
-    found = compare(before, after)
-    for line in found.lines():
+    before, after = read_or_exit(old, old_titles).inventory, read_or_exit(new, new_titles).inventory
+    changes = compare(before, after)
+    for line in changes.lines():
         click.echo(line)
-    why = implausible(before, found)
+    why = implausible(before, changes)
     if why:
-        click.echo(f"a front would wait for a person's word: {why}", err=True)
-    sys.exit(4 if why else 3 if found else 0)
+        click.echo(f"a front would wait for a confirmation: {why}", err=True)
+    sys.exit(4 if why else 3 if changes else 0)
 
 
 @inventory.command()
@@ -81,20 +82,20 @@
 @click.argument("out", type=click.Path(dir_okay=False))
 @TITLES
 @click.option(
-    "--titles-out", default="", type=click.Path(dir_okay=False), help="Where titles go, where OUT is CSV."
+    "--titles-out", default="", type=click.Path(dir_okay=False), help="The file for titles if OUT is CSV."
 )
 def convert(file: str, out: str, titles: str, titles_out: str) -> None:
-    """Write FILE in the other form, told by OUT's ending (.csv, .yaml, .yml)."""
-    found = read(file, titles).inventory
+    """Write FILE to OUT in the format given by OUT's suffix (.csv, .yaml, .yml)."""
+    content = read_or_exit(file, titles).inventory
     if Path(out).suffix.lower() in YAML_SUFFIXES:
-        Path(out).write_text(yamlform.write(found))
+        Path(out).write_text(yamlform.write(content))
         return
-    if found.titles and not titles_out:
-        raise click.UsageError("there are titles: say --titles-out where they go")
-    hosts, rest = csvform.write(found)
+    if content.titles and not titles_out:
+        raise click.UsageError("FILE has titles, expected --titles-out for them")
+    hosts, title_rows = csvform.write(content)
     Path(out).write_text(hosts)
     if titles_out:
-        Path(titles_out).write_text(rest)
+        Path(titles_out).write_text(title_rows)
 
 
 @inventory.command()
@@ -105,21 +106,21 @@
     multiple=True,
     required=True,
     metavar="URL",
-    help="A front that waits, such as http://127.0.0.1:8080; may be given several times.",
+    help="URL of a front that waits, such as http://127.0.0.1:8080; may be given several times.",
 )
 def confirm(digest: str, fronts: tuple[str, ...]) -> None:
-    """Tell fronts that the change with DIGEST, for which they wait, is meant."""
-    wrong = 0
+    """Confirm the pending change with DIGEST at fronts."""
+    failures = 0
     for front in fronts:
         url = f"{front.rstrip('/')}/v1/inventory?confirm={digest}"
         try:
             request = urllib.request.Request(url, method="POST")
             with urllib.request.build_opener(urllib.request.ProxyHandler({})).open(request, timeout=10):
-                click.echo(f"{front}: taken")
+                click.echo(f"{front}: confirmed")
         except urllib.error.HTTPError as err:
-            wrong += 1
+            failures += 1
             click.echo(f"{front}: {json.loads(err.read() or b'{}').get('detail', err.reason)}", err=True)
         except OSError as err:
-            wrong += 1
+            failures += 1
             click.echo(f"{front}: {err}", err=True)
-    sys.exit(1 if wrong else 0)
+    sys.exit(1 if failures else 0)
--- a/tests/inventory/test_watch.py
+++ b/tests/inventory/test_watch.py
@@ -228,7 +228,7 @@
     one, two, bad = tmp_path / "one.yaml", tmp_path / "two.csv", tmp_path / "bad.yml"
     one.write_text(inventory_text(8))
     bad.write_text(inventory_text(8).replace("port: 80", "port: 0", 1))
-    assert "sound: 8 nodes (8 serving), 0 titles" in command("check", one).stdout
+    assert "valid: 8 nodes (8 serving), 0 titles" in command("check", one).stdout
     done = command("check", bad)
     assert done.returncode == 1 and f"{bad}, line " in done.stderr and "port: found 0" in done.stderr
     assert command("convert", one, two).returncode == 0
@@ -236,5 +236,5 @@
     assert (done.returncode, done.stdout) == (0, "")
     one.write_text(inventory_text(3))
     done = command("diff", two, one)
-    assert done.returncode == 4 and done.stdout.count("- n") == 5 and "person's word" in done.stderr
+    assert done.returncode == 4 and done.stdout.count("- n") == 5 and "wait for a confirmation" in done.stderr
     assert command("check", tmp_path / "nowhere.csv").returncode == 2
