--- a/curlewhall/daemon/decide.py
+++ b/curlewhall/daemon/decide.py
@@ -91,14 +91,14 @@
 
     # ---- events
 
-    def start_all(self, now: int):
+    def start_all(self, now: int) -> list[tuple]:
         """Start a worker for each slot."""
         return [
             *(self.start_worker(now, slot, False) for slot in range(len(self.slots))),
             *self.schedule_wake(now),
         ]
 
-    def worker_prepared(self, now: int, number: int):
+    def worker_prepared(self, now: int, number: int) -> list[tuple]:
         """A successor has read its settings and is able to take over."""
         worker = self.workers.get(number)
         if worker is None or worker.state != "starting" or not worker.is_successor:
@@ -112,7 +112,7 @@
         worker.state = "taking"
         return [("hand", worker.slot, slot.serving.number, number), *self.schedule_wake(now)]
 
-    def worker_ready(self, now: int, number: int):
+    def worker_ready(self, now: int, number: int) -> list[tuple]:
         """A worker serves."""
         worker = self.workers.get(number)
         if worker is None or worker.state not in ("starting", "taking"):
@@ -130,7 +130,7 @@
             out += self.stop_worker(now, worker)
         return out + self.schedule_wake(now)
 
-    def worker_exited(self, now: int, number: int, why: str):
+    def worker_exited(self, now: int, number: int, why: str) -> list[tuple]:
         """A worker process has ended; `why` is its exit code or signal."""
         worker = self.workers.pop(number, None)
         if worker is None:
@@ -153,7 +153,7 @@
             out += [*self.command_finished(True, "stopped"), ("end",)]
         return out + self.schedule_wake(now)
 
-    def command_requested(self, now: int, what: str):
+    def command_requested(self, now: int, what: str) -> list[tuple]:
         """Begin a "restart", a "reload" (both hand over) or a "stop"; a second "stop" shortens the first."""
         if what == "stop":
             if self.stopping:
@@ -178,7 +178,7 @@
         self.command, self.slots_to_replace = what, set(range(len(self.slots)))
         return self.replace_next_slot(now) + self.schedule_wake(now)
 
-    def deadline_reached(self, now: int):
+    def deadline_reached(self, now: int) -> list[tuple]:
         """Kill workers that exceeded a deadline; start workers whose restart pause is over."""
         self.next_wake, out = None, []
         for worker in list(self.workers.values()):
@@ -196,14 +196,15 @@
 
     # ---- helpers
 
-    def start_worker(self, now: int, slot: int, successor: bool):
+    def start_worker(self, now: int, slot: int, successor: bool) -> tuple:
+        """Register a new worker; the action that starts it."""
         self.last_number += 1
         worker = self.workers[self.last_number] = Worker(self.last_number, slot, now, successor)
         if successor:
             self.slots[slot].successor = worker
         return ("start", slot, self.last_number, successor)
 
-    def replace_next_slot(self, now: int):
+    def replace_next_slot(self, now: int) -> list[tuple]:
         """Replace one slot at a time, so that the others serve meanwhile."""
         slot = self.current_slot = min(self.slots_to_replace)
         if self.slots[slot].serving is not None:
@@ -213,7 +214,7 @@
         starting = any(w.slot == slot for w in self.workers.values())
         return [] if starting else [self.start_worker(now, slot, False)]
 
-    def slot_replaced(self, now: int, slot: int):
+    def slot_replaced(self, now: int, slot: int) -> list[tuple]:
         """Continue a restart or reload with the next slot, or finish it."""
         if slot not in self.slots_to_replace or slot != self.current_slot:
             return []
@@ -222,19 +223,19 @@
             return self.replace_next_slot(now)
         return self.command_finished(True, "every worker was replaced")
 
-    def command_failed(self, text: str):
+    def command_failed(self, text: str) -> list[tuple]:
         """End a restart or reload at its first failure: going on could take down every worker in turn."""
         if not self.command or self.command == "stop":
             return [("say", text)]
         self.slots_to_replace = set()
         return self.command_finished(False, text)
 
-    def command_finished(self, ok: bool, text: str):
+    def command_finished(self, ok: bool, text: str) -> list[tuple]:
         """Report the end of the command in progress, if there is one."""
         what, self.command = self.command, ""
         return [("done", what, ok, text)] if what else []
 
-    def worker_crashed(self, now: int, number: int, why: str):
+    def worker_crashed(self, now: int, number: int, why: str) -> list[tuple]:
         """Schedule the restart of the worker of slot `number`, or leave the slot down in a crash loop."""
         slot = self.slots[number]
         slot.crashes.append(now)
@@ -253,12 +254,14 @@
         slot.restart_at = now + pause
         return [("say", f"worker {number} ended ({why}) and is restarted in {pause / TICKS_PER_SECOND:g} s")]
 
-    def stop_worker(self, now: int, worker: Worker):
+    def stop_worker(self, now: int, worker: Worker) -> list[tuple]:
+        """Stop a worker that serves, kill one that does not serve yet."""
         # a worker that does not serve yet has accepted no request; all others answer theirs first
         serves, worker.state, worker.since = worker.state not in ("starting", "taking"), "stopping", now
         return [("stop" if serves else "kill", worker.number)]
 
-    def hurry_workers(self, now: int):
+    def hurry_workers(self, now: int) -> list[tuple]:
+        """Shorten the stop of every worker, once."""
         if self.hurried:
             return []
         self.hurried = True
@@ -274,7 +277,7 @@
         }.get(worker.state)
         return worker.since + span if span is not None else 1 << 62
 
-    def schedule_wake(self, now: int):
+    def schedule_wake(self, now: int) -> list[tuple]:
         """A "wake" for the earliest deadline, unless one as early is scheduled already."""
         deadlines = [self.deadline(worker) for worker in self.workers.values()]
         deadlines += [slot.restart_at for slot in self.slots if slot.restart_at is not None]
--- a/curlewhall/daemon/run.py
+++ b/curlewhall/daemon/run.py
@@ -124,10 +124,10 @@
             ) from None
         os.ftruncate(self.lock, 0)
         os.pwrite(self.lock, f"{os.getpid()}\n".encode(), 0)
-        address = self.file.listen
+        listener = self.file.listen
         reuse_port = self.file.daemon.reuse_port
         self.sockets = [
-            listen(address.address, address.port, share=reuse_port)
+            listen(listener.address, listener.port, share=reuse_port)
             for _ in range(self.worker_count if reuse_port else 1)
         ]
         if self.file.HasField("console"):
@@ -234,6 +234,7 @@
         self.pending_commands[what].pop().set_result((False, text))
 
     def execute_say(self, text: str) -> None:
+        """Report a problem in the log, in `status` and to the service manager."""
         self.log.warning("worker problem", text=text)
         self.messages.append(text)
         self.notify.send(f"STATUS={text}"[:200])
--- a/curlewhall/daemon/worker.py
+++ b/curlewhall/daemon/worker.py
@@ -112,7 +112,7 @@
             return
         if self.workers > 1:
             self.front.server.route = self.route
-            self.front.follower.broadcast = lambda *facts: self.daemon.send("spread", *facts)
+            self.front.follower.broadcast = lambda *values: self.daemon.send("spread", *values)
         if incoming is not None:
             incoming.announce_serving()
         await self.front.ready.wait()
@@ -208,6 +208,7 @@
             self.loop.create_task(self.stop())
 
     async def stop(self) -> None:
+        """Stop the front, then end the process."""
         await self.front.stop()
         self.finish()
 
@@ -221,7 +222,7 @@
 
     def handle_state(self, number: int) -> None:
         """Report figures for `curlewhall status`."""
-        counts = (
+        figures = (
             {}
             if self.front is None
             else {
@@ -230,7 +231,7 @@
                 "connections": len(self.front.server.connections) if self.front.server else 0,
             }
         )
-        self.daemon.send("state", number, counts)
+        self.daemon.send("state", number, figures)
 
 
 async def main(
