--- a/tests/daemon/test_handover.py
+++ b/tests/daemon/test_handover.py
@@ -132,11 +132,11 @@
     async with deployment(tmp_path, nodes=4) as place:
         where = place.plan["fronts"][0]
         state = f"GET /v1/state HTTP/1.1\r\nhost: {where['address']}\r\n\r\n".encode()
-        peers = [await RawClient.open(where["port"], where["address"]) for _ in range(count)]
-        for peer in peers:
-            await peer.send(state)
-            await peer.message()
-        split = peers[0]
+        clients = [await RawClient.open(where["port"], where["address"]) for _ in range(count)]
+        for client in clients:
+            await client.send(state)
+            await client.message()
+        split = clients[0]
         await split.send(state[:20])  # a request split by the hand-over is answered by the old front
         await until(
             lambda: any(
@@ -147,16 +147,16 @@
         assert len(run.old.server.connections) == count
         await split.send(state[20:])
         assert (await split.message()).status == 200
-        for peer in peers[1:]:
-            await peer.send(state + state)  # two pipelined requests: the successor answers both
-        for peer in peers[1:]:
-            assert [(await peer.message()).status for _ in range(2)] == [200, 200]
+        for client in clients[1:]:
+            await client.send(state + state)  # two pipelined requests: the successor answers both
+        for client in clients[1:]:
+            assert [(await client.message()).status for _ in range(2)] == [200, 200]
         assert len(run.old.server.connections) == 1
         assert len(run.new.server.connections) == count - 1
         split.close()
         await run.end()
-        for peer in peers[1:]:
-            peer.close()
+        for client in clients[1:]:
+            client.close()
 
 
 @looped
