--- a/bench/sites_sim.py
+++ b/bench/sites_sim.py
@@ -24,7 +24,7 @@
 
 from curlewhall.drills.fleet import make_plan, settings
 from curlewhall.front.driver import ActivePlay, Clock, Driver
-from curlewhall.front.listing import ListFollower
+from curlewhall.front.list_follower import ListFollower
 from curlewhall.policy import Front
 from curlewhall.relay.null_objects import NoMoves
 from curlewhall.settings import parse, start_settings
--- a/curlewhall/front/listing.py
+++ b/curlewhall/front/list_follower.py
@@ -26,10 +26,10 @@
 from curlewhall.wire.client import Pool, Reply
 from curlewhall.wire.http import request_bytes
 
-from . import lists
+from . import peer_lists
 from .driver import Driver
-from .lists import current_stamp
 from .nodes import module_row
+from .peer_lists import current_stamp
 
 SILENCE_TIMEOUT_S = 5.0  # a stream without a line, ticks included, for this long is taken for dead
 NODE_STATES = ("serving", "draining", "gone")
@@ -92,7 +92,7 @@
         self.write_task = None
         self.write_pending = False  # whether there is something newer to write than the write in progress
         self.written_at = 0.0  # seconds, monotonic
-        self.peer_list_client = lists.NoPeerListClient()
+        self.peer_list_client = peer_lists.NoPeerListClient()
         self.started_at = time.monotonic()
         # Whether the first request to the list service has succeeded or failed.
         self.first_result_known = pool is None
@@ -156,7 +156,7 @@
 
     def accept_peer_list(self, listing: forms.Listing, seconds: float) -> None:
         """Apply a peer's list, confirmed `seconds` ago, if it is better than the present one."""
-        if not lists.is_acceptable(self, listing, seconds):
+        if not peer_lists.is_acceptable(self, listing, seconds):
             return
         now = current_stamp()
         self.confirmed_stamp = Timestamp(
@@ -487,7 +487,7 @@
         self.first_result_known = True
         self.check_ready()
         self.retry_timer = self.driver.timers.after(
-            self.subscription.retry_delay(lists.retry_after_s(reply)), self.subscribe
+            self.subscription.retry_delay(peer_lists.retry_after_s(reply)), self.subscribe
         )
         self.peer_list_client.on_service_failure()
 
--- a/curlewhall/front/parting.py
+++ b/curlewhall/front/play_transfer.py
@@ -15,7 +15,7 @@
 
 from . import problems
 from .driver import ActivePlay
-from .sharing import has_free_seat, peer_order
+from .transfer_rules import has_free_seat, peer_order
 
 OFFER_AUDIENCE = "curlewhall:offer"  # a viewer's token names its node here
 MAX_CONCURRENT_OFFERS = 32  # peers also have to serve their viewers
--- a/curlewhall/front/serve.py
+++ b/curlewhall/front/serve.py
@@ -38,11 +38,11 @@
 
 from .collector import tune_garbage_collector
 from .driver import Driver
-from .listing import ListFollower
-from .lists import PeerListClient, PeerListServer
+from .list_follower import ListFollower
 from .nodes import Nodes
-from .parting import PlayTransfer
+from .peer_lists import PeerListClient, PeerListServer
 from .peers import Peers
+from .play_transfer import PlayTransfer
 from .viewers import Viewers
 
 DEFAULT_POLICY = "curlewhall.policy:Front"
--- a/curlewhall/front/viewers.py
+++ b/curlewhall/front/viewers.py
@@ -17,7 +17,7 @@
 
 from . import problems
 from .driver import ActivePlay, Driver
-from .parting import OfferReceiver
+from .play_transfer import OfferReceiver
 
 SEGMENT_DURATION_S = 1.0  # short, so that a changed rung takes effect soon
 MAX_MOVED_PLAYS = 10_000  # moved or resumed plays that are remembered until their viewers ask again
--- a/tests/front/test_front.py
+++ b/tests/front/test_front.py
@@ -14,7 +14,7 @@
 from curlewhall.dash import tokens
 from curlewhall.drills.baselines import TwoDrawn
 from curlewhall.drills.fleet import make_plan, settings
-from curlewhall.front import listing
+from curlewhall.front import list_follower
 from curlewhall.front.driver import Clock, Driver
 from curlewhall.front.serve import FrontProcess
 from curlewhall.settings import parse
@@ -428,7 +428,7 @@
         front = env.fronts[0]
         follower, row = front.follower, next(iter(front.follower.rows.values()))
         await until(lambda: follower.write_task is None)
-        monkeypatch.setattr(listing, "replace_file", replace_file)
+        monkeypatch.setattr(list_follower, "replace_file", replace_file)
         try:
             for _ in range(5):
                 follower.handle_listing(Listing("changes", follower.version + 1, follower.version, [row]))
--- a/tests/front/test_parting.py
+++ b/tests/front/test_play_transfer.py
@@ -10,9 +10,9 @@
 
 from curlewhall.dash import manifest, tokens
 from curlewhall.drills.baselines import TwoDrawn
-from curlewhall.front import parting
-from curlewhall.front.parting import OFFER_AUDIENCE
-from curlewhall.front.sharing import has_free_seat, peer_order
+from curlewhall.front import play_transfer
+from curlewhall.front.play_transfer import OFFER_AUDIENCE
+from curlewhall.front.transfer_rules import has_free_seat, peer_order
 from curlewhall.wire import forms
 from curlewhall.wire.client import Pool
 from curlewhall.wire.http import request_bytes
@@ -138,13 +138,13 @@
             taking.node_responded = lambda *args, taking=taking, taken=taken: env.fleet.loop.create_task(
                 after_gate(taking, taken, *args)
             )
-        parting.OFFER_TIMEOUT_S, limit = 0.2, parting.OFFER_TIMEOUT_S
+        play_transfer.OFFER_TIMEOUT_S, limit = 0.2, play_transfer.OFFER_TIMEOUT_S
         try:
-            transferring = asyncio.ensure_future(parting.PlayTransfer(leaving).transfer(active_play))
+            transferring = asyncio.ensure_future(play_transfer.PlayTransfer(leaving).transfer(active_play))
             await until(lambda: offers)
             await transferring  # the offer times out
         finally:
-            parting.OFFER_TIMEOUT_S = limit
+            play_transfer.OFFER_TIMEOUT_S = limit
         gate.set()
         holder = [peer for peer in peers if active_play.info.play in peer.driver.plays_at_predecessor]
         await until(lambda: not any(peer.driver.plays_at_predecessor for peer in peers))
