--- a/tests/daemon/test_process.py
+++ b/tests/daemon/test_process.py
@@ -171,6 +171,12 @@
     assert set(outcomes) <= {"HTTP/1.1 200", "HTTP/1.1 503", "HTTP/1.1 404", "ConnectionRefusedError"}
 
 
+def control_listens(daemon_home):
+    """Whether the control socket accepts connections; its file exists a moment before that."""
+    with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
+        return sock.connect_ex(str(Path(daemon_home) / "control")) == 0
+
+
 def test_queued_connection_gets_503_when_daemon_is_stopped_before_it_serves(place):
     file, folder, daemon_home, plan = place
     listener = plan["fronts"][0]["address"], plan["fronts"][0]["port"]
@@ -187,7 +193,7 @@
 
     with poll(connected) as sock:
         sock.sendall(b"GET /play/clip-00?product=plain&viewer=v HTTP/1.1\r\nhost: x\r\n\r\n")
-        poll(lambda: (Path(daemon_home) / "control").exists())
+        poll(lambda: control_listens(daemon_home))
         assert ask(daemon_home, "stop")["ok"]
         assert sock.recv(12) == b"HTTP/1.1 503"
     assert daemon.wait(20) == 0
