--- a/tests/sites/test_sites_fleet.py
+++ b/tests/sites/test_sites_fleet.py
@@ -133,7 +133,7 @@
 async def test_fault_at_an_unknown_site_raises(tmp_path, target, kind):
     place = await open_deployment(tmp_path, links=True)
     try:
-        with pytest.raises(ValueError, match="no node lies there"):
+        with pytest.raises(ValueError, match="no node of the plan is in this zone"):
             place.fleet.fault(target, kind, 1)
     finally:
         await place.close()
