--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -491,8 +491,8 @@
     in_module = {
         play: node.id
         for node in driver.module.nodes.values()
-        for play, ply in node.plays.items()
-        if ply.answered
+        for play, module_play in node.plays.items()
+        if module_play.answered
     }
     return in_driver, at_nodes, in_module
 
